--- a/cli/src/main/java/stonelb/cli/AdsStreamLoad.java
+++ b/cli/src/main/java/stonelb/cli/AdsStreamLoad.java
@@ -22,7 +22,7 @@
     private static final String ROUTES = TYPE_PREFIX + "route.v3.RouteConfiguration";
     private static final int RESOURCES_PER_STREAM = 4;
 
-    /** The endpoints' weights may still change right after the first push. */
+    /** Waits for the endpoint weights, which may still change right after the first push. */
     private static final int WEIGHTS_SETTLE_MS = 1000;
 
     private static final String CHANGED_SERVER = "s-1";
@@ -35,10 +35,10 @@
     private volatile Throwable streamFailure;
 
     /**
-     * What was measured.
+     * The measured figures.
      *
      * @param fullBytes the bytes of a full push to one stream
-     * @param changeBytes the bytes that one changed endpoint sends on one stream
+     * @param changeBytes the bytes sent on one stream for one changed endpoint
      * @param p99Ms the 99th percentile of the time from the change until a stream acknowledges it, in milliseconds
      */
     record Result(double fullBytes, double changeBytes, double p99Ms) {}
@@ -65,7 +65,7 @@
         Thread.sleep(WEIGHTS_SETTLE_MS);
         changeEndpoint();
         Result result = new Result(fullBytes, receivedBytes.get() / (double) streamCount, streams.p99Ms());
-        deployment.platform().status(CHANGED_SERVER, "in_service");
+        deployment.platform().setStatus(CHANGED_SERVER, "in_service");
         return result;
     }
 
@@ -90,7 +90,7 @@
         receivedBytes.set(0);
         streams.expect(streamCount);
         phaseStartMs = MonotonicClock.nowMs();
-        deployment.platform().status(CHANGED_SERVER, "terminating");
+        deployment.platform().setStatus(CHANGED_SERVER, "terminating");
         int missing = streams.awaitResponses();
         if (missing > 0) {
             throw new IOException("a change did not reach " + missing + " within 60 s");
--- a/cli/src/main/java/stonelb/cli/AtomicFileWriter.java
+++ b/cli/src/main/java/stonelb/cli/AtomicFileWriter.java
@@ -14,7 +14,7 @@
 import java.util.UUID;
 
 /**
- * Writes a file as a whole or not at all. The content goes to a temporary file in the same folder, which is synced and
+ * Writes files atomically. The content goes to a temporary file in the same folder, which is synced and
  * then renamed over the file, so that a failure or a crash leaves the old file as it was.
  */
 final class AtomicFileWriter {
@@ -28,9 +28,9 @@
     private AtomicFileWriter() {}
 
     /**
-     * Replaces a file with a text in UTF-8.
+     * Replaces a file with text encoded as UTF-8.
      *
-     * @throws IOException if that fails; its message is one line that names the file
+     * @throws IOException if the file cannot be written; the message is a single line that names the file
      */
     static void write(Path file, String text) throws IOException {
         write(file, out -> out.write(text.getBytes(StandardCharsets.UTF_8)));
@@ -39,7 +39,7 @@
     /**
      * Replaces a file.
      *
-     * @throws IOException if that fails; its message is one line that names the file
+     * @throws IOException if the file cannot be written; the message is a single line that names the file
      */
     static void write(Path file, Content content) throws IOException {
         Path folder = file.toAbsolutePath().getParent();
@@ -69,12 +69,12 @@
         }
     }
 
-    /** Deletes the temporary file of a write that failed; after a rename there is none. */
+    /** Deletes the temporary file of a failed write; a successful write has renamed it. */
     private static void deleteLeftover(Path temporaryFile) {
         try {
             Files.deleteIfExists(temporaryFile);
         } catch (IOException e) {
-            // The failure of the write is what the caller has to hear of.
+            // Ignored: the caller needs the exception of the failed write, which this one would replace.
         }
     }
 
--- a/cli/src/main/java/stonelb/cli/CheckCommand.java
+++ b/cli/src/main/java/stonelb/cli/CheckCommand.java
@@ -22,7 +22,7 @@
 import stonelb.description.OpenApiDescription;
 import stonelb.gateway.openapi.OpenApiSettings;
 
-/** Reads a settings file as the program that uses it would, and says what it is or why it is invalid. */
+/** Validates a settings file with the parser of the program that uses it, and prints its kind or the error. */
 @Command(
         name = "check",
         mixinStandardHelpOptions = true,
@@ -50,7 +50,7 @@
         return 0;
     }
 
-    /** What kind of file the text is; throws where it is none or invalid. */
+    /** Returns a description of the kind of file; throws if the kind is unknown or the file is invalid. */
     private String check(String text) throws IOException, InvalidConfigurationException {
         JsonObject root = parseJson(text);
         if (root != null && root.has("settings")) {
@@ -69,7 +69,7 @@
         return checkDescription(text);
     }
 
-    /** The JSON object of a text, or null where the text is none, such as YAML. */
+    /** Parses text as a JSON object; returns null if it is another format, such as YAML. */
     private JsonObject parseJson(String text) throws InvalidConfigurationException {
         if (!text.stripLeading().startsWith("{")) {
             return null;
--- a/cli/src/main/java/stonelb/cli/ComparedDeployments.java
+++ b/cli/src/main/java/stonelb/cli/ComparedDeployments.java
@@ -4,15 +4,15 @@
 import java.util.ArrayList;
 import java.util.List;
 import stonelb.config.InvalidConfigurationException;
-import stonelb.proxy.StandInProxy;
+import stonelb.proxy.StubProxy;
 
 /**
- * Three deployments that receive the same traffic, each with plan servers and a quota counter of its own: one served by
- * gateways, a second one like it, whose distance from the first shows the spread that chance alone causes, and one
- * served by proxies that a control service directs.
+ * Three deployments that receive the same traffic, each with its own plan servers and quota counter: one served by
+ * gateways, an identical second one, whose difference from the first shows the random variation, and one served by
+ * proxies that a control service configures.
  */
 final class ComparedDeployments implements AutoCloseable {
-    /** How many gateways or proxies serve the clinics of a deployment. */
+    /** The number of gateways or proxies in each deployment. */
     static final int ENTRY_POINTS = 4;
 
     private static final int PLAN_SERVERS = 12;
@@ -23,9 +23,9 @@
     private final LocalDeployment proxies = newDeployment();
     private final List<Integer> gatewayPorts = new ArrayList<>();
     private final List<Integer> secondGatewayPorts = new ArrayList<>();
-    private final List<StandInProxy> startedProxies = new ArrayList<>();
+    private final List<StubProxy> startedProxies = new ArrayList<>();
 
-    /** Starts the stub platforms alone. */
+    /** Starts only the stub platforms. */
     ComparedDeployments() throws IOException {}
 
     private static LocalDeployment newDeployment() throws IOException {
@@ -62,7 +62,7 @@
         return secondGatewayPorts.get(entryPoint);
     }
 
-    StandInProxy proxy(int entryPoint) {
+    StubProxy proxy(int entryPoint) {
         return startedProxies.get(entryPoint);
     }
 
--- a/cli/src/main/java/stonelb/cli/ControlCommand.java
+++ b/cli/src/main/java/stonelb/cli/ControlCommand.java
@@ -12,7 +12,7 @@
 import stonelb.control.ControlService;
 import stonelb.control.ControlSettings;
 
-/** Runs the control service in this process until a signal ends it. */
+/** Runs the control service in this process until a signal stops it. */
 @Command(
         name = "control",
         mixinStandardHelpOptions = true,
--- a/cli/src/main/java/stonelb/cli/Clinic.java
+++ b/cli/src/main/java/stonelb/cli/Customer.java
@@ -6,4 +6,4 @@
  * @param id its customer ID in hexadecimal
  * @param plan its plan
  */
-record Clinic(String id, QuotaPlan plan) {}
+record Customer(String id, QuotaPlan plan) {}
--- a/cli/src/main/java/stonelb/cli/DrainMeasurement.java
+++ b/cli/src/main/java/stonelb/cli/DrainMeasurement.java
@@ -5,10 +5,10 @@
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
 import stonelb.config.InvalidConfigurationException;
-import stonelb.proxy.StandInProxy;
+import stonelb.proxy.StubProxy;
 import stonelb.standins.StubFleet;
 
-/** Measures how long it takes from discovery's watch event that a plan server drains until no proxy sends it new work. */
+/** Measures the time from discovery's watch event for a draining plan server until no proxy sends it new requests. */
 final class DrainMeasurement {
     private static final int PROXIES = 100;
     private static final int PLAN_SERVERS = 12;
@@ -24,22 +24,22 @@
     private final int rounds;
     private final Histogram latencyMicros = new Histogram(60_000_000L, 3);
 
-    // Set for each round before the watch event goes out, read on the proxies' threads.
+    // Set for each round before the watch event is sent, read on the proxies' threads.
     private volatile String drainingHost; // null between rounds
     private volatile double startMs;
-    private volatile CountDownLatch unaware = new CountDownLatch(0);
+    private volatile CountDownLatch proxiesStillSending = new CountDownLatch(0);
 
     /**
      * Prepares the measurement.
      *
-     * @param full whether 20 plan servers are drained one by one instead of 5
+     * @param full whether to drain 20 plan servers, one at a time, instead of 5
      */
     DrainMeasurement(MeasurementReport report, boolean full) {
         this.report = report;
         this.rounds = full ? FULL_ROUNDS : QUICK_ROUNDS;
     }
 
-    /** Drains plan servers one by one and reports the latencies over all proxies. */
+    /** Drains plan servers one at a time and reports the latencies across all proxies. */
     void run() throws IOException, InterruptedException, InvalidConfigurationException {
         try (LocalDeployment deployment = new LocalDeployment(PLAN_SERVERS, PROXIES, QuotaPlan.MEASURED_SETTINGS, 0)) {
             deployment.startControlService();
@@ -57,35 +57,35 @@
 
     private void drain(StubFleet platform, String serverName) throws InterruptedException {
         String address = platform.server(serverName).address();
-        unaware = new CountDownLatch(PROXIES);
+        proxiesStillSending = new CountDownLatch(PROXIES);
         drainingHost = address.substring(0, address.indexOf(':'));
         startMs = MonotonicClock.nowMs();
-        platform.status(serverName, "terminating");
-        if (!unaware.await(ROUND_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
-            report.check("drain, proxies not reached", (double) unaware.getCount(), 0);
+        platform.setStatus(serverName, "terminating");
+        if (!proxiesStillSending.await(ROUND_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+            report.check("drain, proxies not reached", (double) proxiesStillSending.getCount(), 0);
         }
         drainingHost = null;
-        platform.status(serverName, "in_service");
+        platform.setStatus(serverName, "in_service");
         Thread.sleep(PAUSE_BETWEEN_ROUNDS_MS);
     }
 
-    /** Records each change by which the proxy stops sending new work to the draining server, on the proxy's own thread. */
-    private void observe(StandInProxy proxy) {
+    /** Records when the proxy stops sending new requests to the draining server, on the proxy's own thread. */
+    private void observe(StubProxy proxy) {
         boolean[] stoppedSending = new boolean[1];
-        proxy.follower().onResources(() -> {
+        proxy.controlClient().addResourceListener(() -> {
             boolean stopped = sendsNothingTo(proxy, drainingHost);
             if (stopped && !stoppedSending[0]) {
                 recordLatency();
-                unaware.countDown();
+                proxiesStillSending.countDown();
             }
             stoppedSending[0] = stopped;
         });
     }
 
-    private static boolean sendsNothingTo(StandInProxy proxy, String host) {
+    private static boolean sendsNothingTo(StubProxy proxy, String host) {
         return host != null
-                && proxy.follower().pools().values().stream().allMatch(pool -> pool.endpoints().stream()
-                        .noneMatch(endpoint -> endpoint.address.equals(host) && endpoint.takesWork()));
+                && proxy.controlClient().pools().values().stream().allMatch(pool -> pool.endpoints().stream()
+                        .noneMatch(endpoint -> endpoint.address.equals(host) && endpoint.acceptsRequests()));
     }
 
     private synchronized void recordLatency() {
--- a/cli/src/main/java/stonelb/cli/DriftMeasurement.java
+++ b/cli/src/main/java/stonelb/cli/DriftMeasurement.java
@@ -9,24 +9,24 @@
 import stonelb.config.InvalidConfigurationException;
 
 /**
- * Measures how far proxies that the control service directs drift from gateways that receive the same traffic, in calm,
- * under load and under faults.
+ * Measures how far proxies configured by the control service drift from gateways that receive the same traffic, at low
+ * load, under overload and during faults.
  */
 final class DriftMeasurement {
-    private static final int CLINICS = 200;
+    private static final int CUSTOMERS = 200;
     private static final double QUICK_LENGTH_MS = 5000;
     private static final double FULL_LENGTH_MS = 30_000;
     private static final double NANOS_PER_SECOND = 1e9;
 
     private static final TrafficShape WARM_UP = TrafficShape.steady("warm", 1);
-    private static final int WARM_UP_CLINICS = 50;
+    private static final int WARM_UP_CUSTOMERS = 50;
     private static final long WARM_UP_SEED = 7;
     private static final double WARM_UP_LENGTH_MS = 1500;
 
     private static final long FIRST_SEED = 12;
     private static final int FAILING_PROXY = 3;
 
-    /** The units by which a clinic may exceed its ceiling. */
+    /** The units by which a customer may exceed its ceiling. */
     private static final double CEILING_SLACK_UNITS = 2;
 
     private static final List<Scenario> SCENARIOS = List.of(
@@ -50,21 +50,21 @@
     /**
      * Prepares the measurement.
      *
-     * @param full whether each scenario lasts 30 s instead of 5 s
+     * @param full whether to run each scenario for 30 s instead of 5 s
      */
     DriftMeasurement(MeasurementReport report, boolean full) {
         this.report = report;
         this.lengthMs = full ? FULL_LENGTH_MS : QUICK_LENGTH_MS;
     }
 
-    /** Plays all scenarios and reports their figures. */
+    /** Runs all scenarios and reports their figures. */
     void run() throws IOException, InterruptedException, InvalidConfigurationException {
         try (ComparedDeployments deployments = new ComparedDeployments()) {
             deployments.start();
             warmUp(deployments);
             long seed = FIRST_SEED;
             for (Scenario scenario : SCENARIOS) {
-                play(scenario, seed, deployments);
+                runScenario(scenario, seed, deployments);
                 seed++;
             }
         }
@@ -72,17 +72,18 @@
 
     private static void warmUp(ComparedDeployments deployments) throws InterruptedException {
         TrafficGenerator generator = new TrafficGenerator(
-                QuotaPlan.MEASURED, WARM_UP_CLINICS, ComparedDeployments.ENTRY_POINTS, WARM_UP_LENGTH_MS);
+                QuotaPlan.MEASURED, WARM_UP_CUSTOMERS, ComparedDeployments.ENTRY_POINTS, WARM_UP_LENGTH_MS);
         List<GeneratedRequest> requests = generator.generate(WARM_UP, WARM_UP_SEED);
         new TrafficReplay(deployments, requests, TrafficReplay.NO_PROXY, () -> {}).run();
     }
 
-    private void play(Scenario scenario, long seed, ComparedDeployments deployments) throws InterruptedException {
+    private void runScenario(Scenario scenario, long seed, ComparedDeployments deployments)
+            throws InterruptedException {
         TrafficGenerator generator =
-                new TrafficGenerator(QuotaPlan.MEASURED, CLINICS, ComparedDeployments.ENTRY_POINTS, lengthMs);
+                new TrafficGenerator(QuotaPlan.MEASURED, CUSTOMERS, ComparedDeployments.ENTRY_POINTS, lengthMs);
         List<GeneratedRequest> requests = generator.generate(scenario.shape(), seed);
-        Map<Long, QuotaPlan> plansByClinic = plansByClinic(requests);
-        LeaseMonitor leases = new LeaseMonitor(deployments.proxies(), plansByClinic);
+        Map<Long, QuotaPlan> plansByCustomer = plansByCustomer(requests);
+        LeaseMonitor leases = new LeaseMonitor(deployments.proxies(), plansByCustomer);
         int failingProxy = scenario.fault() == Fault.PROXY_FAILURE ? FAILING_PROXY : TrafficReplay.NO_PROXY;
         TrafficReplay replay =
                 new TrafficReplay(deployments, requests, failingProxy, () -> injectFault(scenario, deployments));
@@ -94,7 +95,7 @@
         reportDrift(name, requests.size(), replay);
         double overCeiling = replay.proxyDrift()
                 .candidateOverdraft(
-                        clinicId -> QuotaPlan.CEILING.equals(plansByClinic.get(numericId(clinicId))),
+                        customerId -> QuotaPlan.CEILING.equals(plansByCustomer.get(numericId(customerId))),
                         QuotaPlan.CEILING_UNITS_PER_SECOND,
                         QuotaPlan.CEILING_BURST);
         report.check(name + " ceiling passed by, units", overCeiling, CEILING_SLACK_UNITS);
@@ -102,14 +103,14 @@
         report.record(name + " seconds", (System.nanoTime() - startNanos) / NANOS_PER_SECOND);
     }
 
-    private static long numericId(String clinicId) {
-        return Long.parseLong(clinicId, 16);
+    private static long numericId(String customerId) {
+        return Long.parseLong(customerId, 16);
     }
 
-    private static Map<Long, QuotaPlan> plansByClinic(List<GeneratedRequest> requests) {
+    private static Map<Long, QuotaPlan> plansByCustomer(List<GeneratedRequest> requests) {
         Map<Long, QuotaPlan> plans = new HashMap<>();
         for (GeneratedRequest request : requests) {
-            plans.put(numericId(request.clinic().id()), request.clinic().plan());
+            plans.put(numericId(request.customer().id()), request.customer().plan());
         }
         return plans;
     }
@@ -136,9 +137,9 @@
                         requests,
                         drift.candidateUnits(),
                         drift.referenceUnits(),
-                        drift.clinicsOutsideBand(),
-                        drift.clinics(),
-                        drift.worstClinic());
+                        drift.customersOutsideBand(),
+                        drift.customers(),
+                        drift.worstCustomer());
         report.out()
                 .printf(
                         "  answers by status: proxies %s, directly %s%n",
@@ -149,14 +150,14 @@
                         "  two sets of gateways: %.0f and %.0f units, %d clinics beyond a second, worst %.0f units, %.1f s%n",
                         spread.candidateUnits(),
                         spread.referenceUnits(),
-                        spread.clinicsOutsideBand(),
+                        spread.customersOutsideBand(),
                         spread.units(),
                         spread.seconds());
         report.record(name + " spread of gateways, units", spread.units());
-        report.record(name + " spread of gateways, clinics", spread.clinicsOutsideBand());
+        report.record(name + " spread of gateways, clinics", spread.customersOutsideBand());
         report.record(name + " units followed", drift.candidateUnits());
         report.record(name + " units direct", drift.referenceUnits());
-        report.record(name + " clinics beyond 1 s", drift.clinicsOutsideBand());
+        report.record(name + " clinics beyond 1 s", drift.customersOutsideBand());
         report.check(name + " worst drift, units", drift.units(), 0);
         report.check(name + " worst drift, s", drift.seconds(), 1);
     }
--- a/cli/src/main/java/stonelb/cli/DriftRecorder.java
+++ b/cli/src/main/java/stonelb/cli/DriftRecorder.java
@@ -11,8 +11,8 @@
 
 /**
  * Records when requests reach the plan servers of two deployments that receive the same traffic, and compares them
- * clinic by clinic. The units forwarded by the candidate up to a time t have to lie between those that the reference had
- * forwarded a band earlier and those that it has forwarded a band later. Safe for use by several threads.
+ * for each customer. The units forwarded by the candidate up to a time t have to lie between those that the reference had
+ * forwarded a band earlier and those that it has forwarded a band later. Thread-safe.
  */
 final class DriftRecorder {
     private static final double MS_PER_SECOND = 1000;
@@ -23,50 +23,56 @@
     private final Map<String, List<Double>> candidateTimes = new HashMap<>();
     private final Map<String, List<Double>> referenceTimes = new HashMap<>();
 
-    /** A request of a clinic reached the candidate's plan servers; times count from the start, in any order. */
-    synchronized void recordCandidate(String clinicId, double atMs) {
-        candidateTimes.computeIfAbsent(clinicId, id -> new ArrayList<>()).add(atMs);
+    /** Records a request that reached the candidate's plan servers; times are relative to the start, in any order. */
+    synchronized void recordCandidate(String customerId, double atMs) {
+        candidateTimes.computeIfAbsent(customerId, id -> new ArrayList<>()).add(atMs);
     }
 
-    /** A request of a clinic reached the reference's plan servers; times count from the start, in any order. */
-    synchronized void recordReference(String clinicId, double atMs) {
-        referenceTimes.computeIfAbsent(clinicId, id -> new ArrayList<>()).add(atMs);
+    /** Records a request that reached the reference's plan servers; times are relative to the start, in any order. */
+    synchronized void recordReference(String customerId, double atMs) {
+        referenceTimes.computeIfAbsent(customerId, id -> new ArrayList<>()).add(atMs);
     }
 
     /**
-     * Compares all clinics.
+     * Compares all customers.
      *
      * @param lengthMs how long the traffic lasted, in milliseconds
      */
     synchronized DriftSummary summarize(double lengthMs) {
-        Set<String> clinicIds = new TreeSet<>(candidateTimes.keySet());
-        clinicIds.addAll(referenceTimes.keySet());
-        String worstClinic = "";
+        Set<String> customerIds = new TreeSet<>(candidateTimes.keySet());
+        customerIds.addAll(referenceTimes.keySet());
+        String worstCustomer = "";
         double worstUnits = 0;
-        int clinicsOutsideBand = 0;
+        int customersOutsideBand = 0;
         double candidateUnits = 0;
         double referenceUnits = 0;
-        for (String clinicId : clinicIds) {
-            double[] candidate = sorted(candidateTimes.get(clinicId));
-            double[] reference = sorted(referenceTimes.get(clinicId));
+        for (String customerId : customerIds) {
+            double[] candidate = sorted(candidateTimes.get(customerId));
+            double[] reference = sorted(referenceTimes.get(customerId));
             candidateUnits += candidate.length;
             referenceUnits += reference.length;
             double units = deviation(candidate, reference, BAND_MS, lengthMs);
             if (units > 0) {
-                clinicsOutsideBand++;
+                customersOutsideBand++;
             }
-            if (units > worstUnits || worstClinic.isEmpty()) {
+            if (units > worstUnits || worstCustomer.isEmpty()) {
                 worstUnits = Math.max(worstUnits, units);
-                worstClinic = clinicId;
+                worstCustomer = customerId;
             }
         }
         double seconds = smallestBand(
-                sorted(candidateTimes.get(worstClinic)), sorted(referenceTimes.get(worstClinic)), lengthMs);
+                sorted(candidateTimes.get(worstCustomer)), sorted(referenceTimes.get(worstCustomer)), lengthMs);
         return new DriftSummary(
-                worstClinic, worstUnits, seconds, clinicsOutsideBand, clinicIds.size(), candidateUnits, referenceUnits);
+                worstCustomer,
+                worstUnits,
+                seconds,
+                customersOutsideBand,
+                customerIds.size(),
+                candidateUnits,
+                referenceUnits);
     }
 
-    /** The width in seconds of the smallest band that holds the candidate. */
+    /** Returns the width in seconds of the narrowest band that contains the candidate. */
     private static double smallestBand(double[] candidate, double[] reference, double lengthMs) {
         double seconds = 0;
         while (seconds < lengthMs / MS_PER_SECOND
@@ -76,7 +82,7 @@
         return seconds;
     }
 
-    /** By how many units the candidate's count leaves the band around the reference's at worst; 0 if it never does. */
+    /** Returns the largest distance in units of the candidate's count from the reference's band; 0 if always inside. */
     private static double deviation(double[] candidate, double[] reference, double bandMs, double lengthMs) {
         double worst = 0;
         for (double timeMs = 0; timeMs <= lengthMs; timeMs += SAMPLE_INTERVAL_MS) {
@@ -109,22 +115,22 @@
     }
 
     /**
-     * By how many units the candidate overdrew a clinic's token bucket at worst.
+     * Returns the largest number of units by which the candidate overdrew a customer's token bucket.
      *
-     * @param clinicIds which clinics count
+     * @param customerIds selects the customers to check
      * @param unitsPerSecond the rate at which a bucket is refilled
-     * @param burst the units that a bucket holds, with which it starts
-     * @return 0 where no bucket was overdrawn
+     * @param burst the capacity of a bucket, which starts full
+     * @return the units, or 0 if no bucket was overdrawn
      */
-    synchronized double candidateOverdraft(Predicate<String> clinicIds, double unitsPerSecond, double burst) {
+    synchronized double candidateOverdraft(Predicate<String> customerIds, double unitsPerSecond, double burst) {
         double worst = 0;
-        for (Map.Entry<String, List<Double>> clinic : candidateTimes.entrySet()) {
-            if (!clinicIds.test(clinic.getKey())) {
+        for (Map.Entry<String, List<Double>> customer : candidateTimes.entrySet()) {
+            if (!customerIds.test(customer.getKey())) {
                 continue;
             }
             double tokens = burst;
             double previousMs = 0;
-            for (double timeMs : sorted(clinic.getValue())) {
+            for (double timeMs : sorted(customer.getValue())) {
                 double refilled = tokens + unitsPerSecond * (timeMs - previousMs) / MS_PER_SECOND;
                 tokens = Math.min(burst, refilled) - 1;
                 previousMs = timeMs;
--- a/cli/src/main/java/stonelb/cli/DriftSummary.java
+++ b/cli/src/main/java/stonelb/cli/DriftSummary.java
@@ -1,21 +1,21 @@
 package stonelb.cli;
 
 /**
- * How far two deployments that received the same traffic are apart.
+ * The difference between two deployments that received the same traffic.
  *
- * @param worstClinic the ID of the clinic for which they are furthest apart; empty where there was no request
- * @param units by how many units its count leaves the tolerated band
- * @param seconds the width of a band that would hold it, in seconds
- * @param clinicsOutsideBand how many clinics leave the tolerated band
- * @param clinics how many clinics were served at all
- * @param candidateUnits the units served by the deployment that is judged
- * @param referenceUnits the units served by the deployment that it is compared with
+ * @param worstCustomer the ID of the customer with the largest difference; empty if there was no request
+ * @param units the units by which its count is outside the tolerated band
+ * @param seconds the width of the band that would contain it, in seconds
+ * @param customersOutsideBand the number of customers outside the tolerated band
+ * @param customers the number of customers that were served
+ * @param candidateUnits the units served by the candidate deployment
+ * @param referenceUnits the units served by the reference deployment
  */
 record DriftSummary(
-        String worstClinic,
+        String worstCustomer,
         double units,
         double seconds,
-        int clinicsOutsideBand,
-        int clinics,
+        int customersOutsideBand,
+        int customers,
         double candidateUnits,
         double referenceUnits) {}
--- a/cli/src/main/java/stonelb/cli/LeaseMonitor.java
+++ b/cli/src/main/java/stonelb/cli/LeaseMonitor.java
@@ -6,26 +6,26 @@
 import stonelb.control.ControlService;
 
 /**
- * Samples the live leases of a deployment's control service. Those of a clinic may add up to its burst and one request for
- * each proxy; the monitor finds the worst excess.
+ * Samples the live leases of a deployment's control service. The leases of a customer may
+ * total its burst plus one request for each proxy; the monitor records the largest excess.
  */
 final class LeaseMonitor {
     private static final int SAMPLE_INTERVAL_MS = 100;
 
     private final LocalDeployment deployment;
-    private final Map<Long, QuotaPlan> plansByClinic;
+    private final Map<Long, QuotaPlan> plansByCustomer;
     private final CountDownLatch stopped = new CountDownLatch(1);
     private final Thread sampler = new Thread(this::sample, "leases");
-    private double worstExcess; // written by the sampler, read once that has ended
+    private double worstExcess; // written by the sampler thread, read after it has ended
 
     /**
      * Prepares a monitor.
      *
-     * @param plansByClinic the plan of each clinic by its numeric ID
+     * @param plansByCustomer the plan of each customer by its numeric ID
      */
-    LeaseMonitor(LocalDeployment deployment, Map<Long, QuotaPlan> plansByClinic) {
+    LeaseMonitor(LocalDeployment deployment, Map<Long, QuotaPlan> plansByCustomer) {
         this.deployment = deployment;
-        this.plansByClinic = plansByClinic;
+        this.plansByCustomer = plansByCustomer;
     }
 
     void start() {
@@ -33,9 +33,9 @@
     }
 
     /**
-     * Ends sampling.
+     * Stops sampling.
      *
-     * @return the units by which the worst clinic's leases exceeded its bound; 0 where none did
+     * @return the units by which the worst customer's leases exceeded its bound; 0 if none did
      */
     double stop() throws InterruptedException {
         stopped.countDown();
@@ -56,10 +56,10 @@
     private double currentExcess() {
         ControlService controlService = deployment.controlService();
         double worst = 0;
-        for (Map.Entry<Long, Double> clinic : controlService.leasedUnits().entrySet()) {
-            QuotaPlan plan = plansByClinic.get(clinic.getKey());
+        for (Map.Entry<Long, Double> customer : controlService.leasedUnits().entrySet()) {
+            QuotaPlan plan = plansByCustomer.get(customer.getKey());
             if (plan != null) {
-                worst = Math.max(worst, clinic.getValue() - plan.burst() - ComparedDeployments.ENTRY_POINTS);
+                worst = Math.max(worst, customer.getValue() - plan.burst() - ComparedDeployments.ENTRY_POINTS);
             }
         }
         return worst;
--- a/cli/src/main/java/stonelb/cli/LineEncoder.java
+++ b/cli/src/main/java/stonelb/cli/LineEncoder.java
@@ -7,8 +7,8 @@
 import net.logstash.logback.encoder.LogstashEncoder;
 
 /**
- * Encodes log events as JSON objects, one a line, or as plain text where the system property {@code stonelb.log} is
- * {@code text}, as the launcher sets it on a terminal.
+ * Encodes log events as JSON objects, one per line, or as plain text if the system property {@code stonelb.log} is
+ * {@code text}, which the launcher sets if standard error is a terminal.
  */
 public final class LineEncoder extends EncoderBase<ILoggingEvent> {
     private final boolean plainText = "text".equals(System.getProperty("stonelb.log"));
--- a/cli/src/main/java/stonelb/cli/LocalDeployment.java
+++ b/cli/src/main/java/stonelb/cli/LocalDeployment.java
@@ -23,7 +23,7 @@
 import stonelb.follower.ClientOptions;
 import stonelb.gateway.GatewayServer;
 import stonelb.gateway.openapi.OpenApiSettings;
-import stonelb.proxy.StandInProxy;
+import stonelb.proxy.StubProxy;
 import stonelb.standins.StubFleet;
 
 /**
@@ -43,21 +43,21 @@
     private final Path folder;
     private final HttpClient client;
     private final int gateways;
-    private final List<StandInProxy> proxies = new ArrayList<>();
+    private final List<StubProxy> proxies = new ArrayList<>();
     private ControlService controlService;
 
     /**
-     * Starts the stub platform alone.
+     * Starts only the stub platform.
      *
-     * @param planServers how many plan servers it has
-     * @param gateways how many gateways or proxies serve each customer together
+     * @param planServers the number of plan servers
+     * @param gateways the number of gateways or proxies that share the quotas
      * @param plans the plans in the gateways' settings, as JSON objects separated by commas
-     * @param workMs how long a plan server takes for a request on average, in milliseconds
+     * @param workMs the mean processing time of a plan server for a request, in milliseconds
      */
     LocalDeployment(int planServers, int gateways, String plans, double workMs) throws IOException {
         platform = new StubFleet(planServers);
         platform.plans = plans;
-        platform.workMs = workMs;
+        platform.meanWorkMs = workMs;
         this.gateways = gateways;
         folder = Files.createTempDirectory("stonelb");
         AtomicFileWriter.write(descriptionFile(), StubFleet.DESCRIPTION);
@@ -128,37 +128,37 @@
     }
 
     /**
-     * Starts a proxy that the control service directs and waits until it has its resources.
+     * Starts a proxy that the control service configures and waits until it has received its resources.
      *
-     * @throws IOException if it has none after 10 s
+     * @throws IOException if it has not received them within 10 s
      */
-    StandInProxy startProxy(String name) throws IOException, InterruptedException {
+    StubProxy startProxy(String name) throws IOException, InterruptedException {
         ClientOptions options = new ClientOptions(name, LOOPBACK, controlService.port(), true, null, PROXY_HOLD_MS);
-        StandInProxy proxy = new StandInProxy(options, 0);
+        StubProxy proxy = new StubProxy(options, 0);
         proxies.add(proxy);
-        for (int poll = 0; poll < READY_POLLS && !proxy.follower().ready(); poll++) {
+        for (int poll = 0; poll < READY_POLLS && !proxy.controlClient().isReady(); poll++) {
             Thread.sleep(READY_POLL_MS);
         }
-        if (!proxy.follower().ready()) {
+        if (!proxy.controlClient().isReady()) {
             throw new IOException("proxy " + name + " got no resources within 10 s");
         }
         return proxy;
     }
 
     /**
-     * Sends a clinic's request to a gateway or proxy.
+     * Sends a customer's request to a gateway or proxy.
      *
      * @param port the port of the gateway or proxy
      * @param request the request
-     * @param spread over how many gateways or proxies the clinic's requests are spread
-     * @param onResponse is given the HTTP status, or 0 where there was no response, on a thread of the HTTP client
+     * @param spread the number of gateways or proxies over which the customer's requests are spread
+     * @param onResponse called with the HTTP status, or 0 if there was no response, on a thread of the HTTP client
      */
     void send(int port, GeneratedRequest request, int spread, IntConsumer onResponse) {
-        String path = request.sessionLog() ? "/v1/sessions" : "/v1/plans/7";
+        String path = request.recordsSession() ? "/v1/sessions" : "/v1/plans/7";
         HttpRequest httpRequest = HttpRequest.newBuilder(URI.create("http://" + LOOPBACK + ":" + port + path))
-                .method(request.sessionLog() ? "POST" : "GET", HttpRequest.BodyPublishers.noBody())
-                .header("X-Customer", request.clinic().id())
-                .header("X-Plan", request.clinic().plan().name())
+                .method(request.recordsSession() ? "POST" : "GET", HttpRequest.BodyPublishers.noBody())
+                .header("X-Customer", request.customer().id())
+                .header("X-Plan", request.customer().plan().name())
                 .header("X-Spread", Integer.toString(spread))
                 .header("X-Id", request.id())
                 .build();
@@ -169,7 +169,7 @@
 
     @Override
     public void close() throws IOException {
-        proxies.forEach(StandInProxy::close);
+        proxies.forEach(StubProxy::close);
         if (controlService != null) {
             controlService.close();
         }
--- a/cli/src/main/java/stonelb/cli/Main.java
+++ b/cli/src/main/java/stonelb/cli/Main.java
@@ -8,7 +8,7 @@
 import stonelb.config.InvalidConfigurationException;
 
 /**
- * The command line. Exit codes: 0 the command succeeded, 1 it failed or a measured figure missed its bound, 2 the
+ * The command line. Exit codes: 0 the command succeeded, 1 it failed or a measured figure exceeded its bound, 2 the
  * arguments are wrong.
  */
 @Command(
@@ -44,7 +44,7 @@
         }
     }
 
-    /** All commands. One that fails for an expected reason prints it as one line. */
+    /** Returns the command line with all commands. Expected failures are printed as a single line. */
     CommandLine commandLine() {
         CommandLine commandLine = new CommandLine(this);
         commandLine.setExecutionExceptionHandler((exception, command, parsed) -> {
@@ -57,13 +57,13 @@
         return commandLine;
     }
 
-    /** Fails: the program needs a command. */
+    /** Reports that a command is missing. */
     @Override
     public void run() {
         throw new CommandLine.ParameterException(spec.commandLine(), "a command is missing");
     }
 
-    /** Keeps the process alive after its command has returned, for a server that runs on threads of its own. */
+    /** Keeps the process alive after its command has returned, for a server that runs on its own threads. */
     void keepRunning() {
         runsInBackground = true;
     }
--- a/cli/src/main/java/stonelb/cli/MeasureCommand.java
+++ b/cli/src/main/java/stonelb/cli/MeasureCommand.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Runs a measurement and prints its figures with their bounds; exit code 1 where a figure misses its bound. */
+/** Runs a measurement and prints its figures with their bounds; exit code 1 if a figure exceeds its bound. */
 @Command(
         name = "measure",
         mixinStandardHelpOptions = true,
--- a/cli/src/main/java/stonelb/cli/MeasurementReport.java
+++ b/cli/src/main/java/stonelb/cli/MeasurementReport.java
@@ -28,7 +28,7 @@
         return allWithinBounds;
     }
 
-    /** Adds a figure without a bound; it appears in the JSON form alone. */
+    /** Adds a figure without a bound; it appears only in the JSON output. */
     void record(String name, Number value) {
         figures.put(name, value);
     }
--- a/cli/src/main/java/stonelb/cli/MonotonicClock.java
+++ b/cli/src/main/java/stonelb/cli/MonotonicClock.java
@@ -6,7 +6,7 @@
 final class MonotonicClock {
     private static final double NANOS_PER_MS = 1e6;
 
-    /** Shorter waits are skipped. */
+    /** The shortest wait worth a sleep; shorter ones return at once. */
     private static final double SHORTEST_SLEEP_MS = 0.05;
 
     private MonotonicClock() {}
@@ -15,7 +15,7 @@
         return System.nanoTime() / NANOS_PER_MS;
     }
 
-    /** Waits until {@link #nowMs} has reached a time; may return a little early. */
+    /** Waits until {@link #nowMs} reaches a time; may return slightly early. */
     static void sleepUntil(double timeMs) {
         double waitMs = timeMs - nowMs();
         if (waitMs > SHORTEST_SLEEP_MS) {
--- a/cli/src/main/java/stonelb/cli/ProxyStreams.java
+++ b/cli/src/main/java/stonelb/cli/ProxyStreams.java
@@ -11,7 +11,7 @@
 
 /**
  * Streams of many simulated proxies to one control service: the connections they share, and the latencies of the
- * responses that are awaited on them.
+ * expected responses.
  */
 final class ProxyStreams implements AutoCloseable {
     private static final int STREAMS_PER_CONNECTION = 100;
@@ -28,7 +28,7 @@
     /**
      * Prepares streams; none is opened yet.
      *
-     * @param count how many there will be
+     * @param count the number of streams
      */
     ProxyStreams(LocalDeployment deployment, int count) {
         this.controlServicePort = deployment.controlService().port();
@@ -40,7 +40,7 @@
         return "size-" + count + "-" + index;
     }
 
-    /** The connection for one more stream. */
+    /** Returns the connection for the next stream, opening a new one when the last is full. */
     ManagedChannel nextConnection() {
         if (opened % STREAMS_PER_CONNECTION == 0) {
             connections.add(
@@ -51,7 +51,7 @@
         return connections.get(connections.size() - 1);
     }
 
-    /** Starts awaiting a number of responses, with no latency recorded yet. */
+    /** Sets the number of expected responses and clears the recorded latencies. */
     void expect(int responses) {
         synchronized (latencyMicros) {
             latencyMicros.reset();
@@ -75,7 +75,7 @@
     /**
      * Waits up to a minute for the expected responses.
      *
-     * @return how many are missing
+     * @return the number of missing responses
      */
     int awaitResponses() throws InterruptedException {
         CountDownLatch current = awaited;
--- a/cli/src/main/java/stonelb/cli/QuotaPlan.java
+++ b/cli/src/main/java/stonelb/cli/QuotaPlan.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * A plan that clinics have in the measurements.
+ * A plan of customers in the measurements.
  *
  * @param name the plan's name in the configuration
  * @param unitsPerSecond the rate of its quota
- * @param burst the units a clinic may spend at once
+ * @param burst the units a customer may spend at once
  */
 record QuotaPlan(String name, double unitsPerSecond, double burst) {
     private static final QuotaPlan SMALL = new QuotaPlan("consulta", 0.7, 3.5);
@@ -20,13 +20,13 @@
     /** The plans of the measurements: a small quota, one with a ceiling, and one that may be exceeded. */
     static final List<QuotaPlan> MEASURED = List.of(SMALL, CEILING, LARGE);
 
-    /** The units per second that a clinic of {@link #CEILING} may never exceed for long. */
+    /** The units per second that a customer of {@link #CEILING} may never exceed for long. */
     static final double CEILING_UNITS_PER_SECOND = 4.4;
 
-    /** The units that a clinic of {@link #CEILING} may spend at once. */
+    /** The units that a customer of {@link #CEILING} may spend at once. */
     static final double CEILING_BURST = 20;
 
-    /** {@link #MEASURED} as in a gateway's settings. */
+    /** {@link #MEASURED} as JSON for a gateway's settings. */
     static final String MEASURED_SETTINGS =
             "{\"name\":\"consulta\",\"unitsPerS\":0.7,\"depth\":3.5,\"worthFactor\":0.8,\"overrunCost\":1},"
                     + "{\"name\":\"centro\",\"unitsPerS\":2.2,\"depth\":10,\"capRate\":4.4,\"hardBurst\":20,\"hardSlack\":2,"
--- a/cli/src/main/java/stonelb/cli/QuotaStreamLoad.java
+++ b/cli/src/main/java/stonelb/cli/QuotaStreamLoad.java
@@ -18,7 +18,7 @@
 import stonelb.control.resources.ResourceFactory;
 
 /**
- * Opens many quota streams to a control service, on each of which a simulated proxy reports its clinics' buckets in one
+ * Opens many quota streams to a control service, on each of which a simulated proxy reports its customers' buckets in one
  * message, and measures how long the first assignment of each bucket takes.
  */
 final class QuotaStreamLoad implements AutoCloseable {
@@ -30,10 +30,10 @@
     private final ProxyStreams streams;
 
     /**
-     * What was measured.
+     * The measured figures.
      *
-     * @param buckets how many buckets were reported
-     * @param assigned how many of them got an assignment
+     * @param buckets the number of reported buckets
+     * @param assigned the number of buckets that received an assignment
      * @param p99Ms the 99th percentile of the time from the report to the assignment, in milliseconds
      */
     record Result(int buckets, int assigned, double p99Ms) {}
@@ -47,12 +47,12 @@
     /**
      * Reports all buckets at once and waits up to a minute for their assignments; the streams stay open.
      *
-     * @param clinics how many clinics there are
-     * @param spread through how many proxies each clinic's requests come, one rejected request through each
+     * @param customers the number of customers
+     * @param spread the number of proxies that each report one rejected request of every customer
      */
-    Result measure(int clinics, int spread) throws InterruptedException {
-        List<RateLimitQuotaUsageReports> reports = reports(clinics, spread);
-        int buckets = clinics * spread;
+    Result measure(int customers, int spread) throws InterruptedException {
+        List<RateLimitQuotaUsageReports> reports = reports(customers, spread);
+        int buckets = customers * spread;
         streams.expect(buckets);
         for (int index = 0; index < streamCount; index++) {
             send(streams.nodeId(index), reports.get(index));
@@ -61,17 +61,17 @@
         return new Result(buckets, buckets - missing, streams.p99Ms());
     }
 
-    private List<RateLimitQuotaUsageReports> reports(int clinics, int spread) {
+    private List<RateLimitQuotaUsageReports> reports(int customers, int spread) {
         List<RateLimitQuotaUsageReports.Builder> builders = new ArrayList<>();
         for (int index = 0; index < streamCount; index++) {
             builders.add(RateLimitQuotaUsageReports.newBuilder().setDomain(ResourceFactory.DOMAIN));
         }
-        for (int clinic = 0; clinic < clinics; clinic++) {
-            QuotaPlan plan = QuotaPlan.MEASURED.get(clinic % QuotaPlan.MEASURED.size());
+        for (int customer = 0; customer < customers; customer++) {
+            QuotaPlan plan = QuotaPlan.MEASURED.get(customer % QuotaPlan.MEASURED.size());
             BucketId bucketId = BucketId.newBuilder()
-                    .putBucket(BucketKey.CUSTOMER, Integer.toHexString(clinic + 1))
+                    .putBucket(BucketKey.CUSTOMER, Integer.toHexString(customer + 1))
                     .putBucket(BucketKey.PLAN, plan.name())
-                    .putBucket(BucketKey.WIDTH, Integer.toString(spread))
+                    .putBucket(BucketKey.SPREAD, Integer.toString(spread))
                     .build();
             BucketQuotaUsage usage = BucketQuotaUsage.newBuilder()
                     .setBucketId(bucketId)
@@ -79,7 +79,7 @@
                     .setNumRequestsDenied(1)
                     .build();
             for (int proxy = 0; proxy < spread; proxy++) {
-                builders.get((clinic + proxy) % streamCount).addBucketQuotaUsages(usage);
+                builders.get((customer + proxy) % streamCount).addBucketQuotaUsages(usage);
             }
         }
         return builders.stream().map(RateLimitQuotaUsageReports.Builder::build).toList();
--- a/cli/src/main/java/stonelb/cli/ResponseCounts.java
+++ b/cli/src/main/java/stonelb/cli/ResponseCounts.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Counts responses by what became of their requests. Safe for use by several threads. */
+/** Counts responses by the outcome of their requests. Thread-safe. */
 final class ResponseCounts {
     private static final int OK = 200;
     private static final int TOO_MANY_REQUESTS = 429;
@@ -14,7 +14,7 @@
     /** The counts of a period. */
     record Snapshot(long served, long throttled, long other) {}
 
-    /** Counts a response by its HTTP status; 0 where there was none. */
+    /** Counts a response by its HTTP status; 0 if there was no response. */
     void add(int status) {
         AtomicLong count =
                 switch (status) {
@@ -25,7 +25,7 @@
         count.incrementAndGet();
     }
 
-    /** The counts since the last call. */
+    /** Returns the counts since the last call and resets them. */
     Snapshot takeAndReset() {
         return new Snapshot(served.getAndSet(0), throttled.getAndSet(0), other.getAndSet(0));
     }
--- a/cli/src/main/java/stonelb/cli/ScalingChart.java
+++ b/cli/src/main/java/stonelb/cli/ScalingChart.java
@@ -14,7 +14,7 @@
     private static final int WIDTH_PIXELS = 900;
     private static final int HEIGHT_PIXELS = 560;
 
-    /** A logarithmic axis has no place for zero. */
+    /** The smallest plotted value, since a logarithmic axis cannot show zero. */
     private static final double SMALLEST_VALUE = 0.01;
 
     /**
@@ -24,14 +24,14 @@
      * @param acknowledgementMs the 99th percentile from a change to its acknowledgement, in milliseconds
      * @param assignmentMs the 99th percentile from a usage report to the assignment, in milliseconds
      * @param heapMb the heap of the process in megabytes
-     * @param changeKb what one changed endpoint sends on all streams together, in kilobytes
+     * @param changeKb the data sent on all streams together for one changed endpoint, in kilobytes
      */
     record Point(int streams, double acknowledgementMs, double assignmentMs, double heapMb, double changeKb) {}
 
     private ScalingChart() {}
 
     /**
-     * Writes the chart. Where that fails, the file stays as it was.
+     * Writes the chart. If that fails, an existing file stays unchanged.
      *
      * @param points the figures in ascending order of streams
      * @param file the PNG file to write
@@ -52,7 +52,7 @@
         chart.addSeries("report to assignment, p99 ms", streams, series(points, Point::assignmentMs));
         chart.addSeries("heap, clients included, MB", streams, series(points, Point::heapMb));
         chart.addSeries("one changed endpoint, all streams, KB", streams, series(points, Point::changeKb));
-        ImageIO.setUseCache(false); // it would write a temporary file of its own
+        ImageIO.setUseCache(false); // the cache would write its own temporary file
         byte[] png = BitmapEncoder.getBitmapBytes(chart, BitmapEncoder.BitmapFormat.PNG);
         AtomicFileWriter.write(file, out -> out.write(png));
     }
--- a/cli/src/main/java/stonelb/cli/ScalingMeasurement.java
+++ b/cli/src/main/java/stonelb/cli/ScalingMeasurement.java
@@ -9,8 +9,8 @@
 /** Measures how the costs of the control service grow with the number of proxy streams. */
 final class ScalingMeasurement {
     private static final List<Integer> STREAM_COUNTS = List.of(10, 100, 1000);
-    private static final int CLINICS_PER_STREAM = 10;
-    private static final int PROXIES_PER_CLINIC = 4;
+    private static final int CUSTOMERS_PER_STREAM = 10;
+    private static final int PROXIES_PER_CUSTOMER = 4;
     private static final int PLAN_SERVERS = 12;
     private static final double BYTES_PER_MB = 1048576.0;
     private static final double BYTES_PER_KB = 1024;
@@ -43,15 +43,15 @@
 
     private ScalingChart.Point measure(int streams)
             throws IOException, InterruptedException, InvalidConfigurationException {
-        int clinics = CLINICS_PER_STREAM * streams;
+        int customers = CUSTOMERS_PER_STREAM * streams;
         try (LocalDeployment deployment =
-                new LocalDeployment(PLAN_SERVERS, PROXIES_PER_CLINIC, QuotaPlan.MEASURED_SETTINGS, 0)) {
+                new LocalDeployment(PLAN_SERVERS, PROXIES_PER_CUSTOMER, QuotaPlan.MEASURED_SETTINGS, 0)) {
             deployment.startControlService();
             AdsStreamLoad.Result ads = AdsStreamLoad.measure(deployment, streams);
             try (QuotaStreamLoad load = new QuotaStreamLoad(deployment, streams)) {
-                QuotaStreamLoad.Result quotas = load.measure(clinics, PROXIES_PER_CLINIC);
+                QuotaStreamLoad.Result quotas = load.measure(customers, PROXIES_PER_CUSTOMER);
                 double heapMb = usedHeapMb();
-                print(streams, clinics, ads, quotas, heapMb);
+                print(streams, customers, ads, quotas, heapMb);
                 reportFigures(streams, ads, quotas, heapMb);
                 double changeKb = ads.changeBytes() * streams / BYTES_PER_KB;
                 return new ScalingChart.Point(streams, ads.p99Ms(), quotas.p99Ms(), heapMb, changeKb);
@@ -60,7 +60,7 @@
     }
 
     private void print(
-            int streams, int clinics, AdsStreamLoad.Result ads, QuotaStreamLoad.Result quotas, double heapMb) {
+            int streams, int customers, AdsStreamLoad.Result ads, QuotaStreamLoad.Result quotas, double heapMb) {
         report.out()
                 .printf(
                         "%d streams: a full push %.0f bytes a stream, one changed endpoint %.0f; %d clinics in %d buckets, "
@@ -68,7 +68,7 @@
                         streams,
                         ads.fullBytes(),
                         ads.changeBytes(),
-                        clinics,
+                        customers,
                         quotas.buckets(),
                         quotas.assigned(),
                         quotas.p99Ms(),
--- a/cli/src/main/java/stonelb/cli/ServeCommand.java
+++ b/cli/src/main/java/stonelb/cli/ServeCommand.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.ParentCommand;
 
-/** Runs one gateway in this process until a signal ends it. */
+/** Runs one gateway in this process until a signal stops it. */
 @Command(
         name = "serve",
         mixinStandardHelpOptions = true,
--- a/cli/src/main/java/stonelb/cli/StatusCommand.java
+++ b/cli/src/main/java/stonelb/cli/StatusCommand.java
@@ -33,7 +33,7 @@
 final class StatusCommand implements Callable<Integer> {
     private static final int MAX_MESSAGE_BYTES = 64 << 20;
     private static final int TIMEOUT_SECONDS = 5;
-    /** The name in the service's certificate, whatever address it listens on. */
+    /** The host name in the service's certificate, which does not depend on the address. */
     private static final String SERVICE_AUTHORITY = "stonelb-control";
 
     @Parameters(paramLabel = "HOST:PORT", description = "where it listens")
--- a/cli/src/main/java/stonelb/cli/StatusTable.java
+++ b/cli/src/main/java/stonelb/cli/StatusTable.java
@@ -4,7 +4,7 @@
 import com.google.protobuf.Value;
 import java.io.PrintWriter;
 
-/** Prints the state of a control service: a line on the service, then a table with a row for each proxy. */
+/** Prints the state of a control service: a line about the service, then a table with a row for each proxy. */
 final class StatusTable {
     private static final double MS_PER_SECOND = 1000;
 
@@ -22,7 +22,7 @@
     /**
      * Prints a state.
      *
-     * @param state the answer of the status service
+     * @param state the response of the status service
      */
     void print(Struct state) {
         out.printf(
@@ -65,7 +65,7 @@
                 versions.isEmpty() ? "away for " + (long) number(proxy, "awayMs") + " ms" : versions);
     }
 
-    /** The versions of every resource type on every stream of a proxy; empty where it has no stream. */
+    /** Returns the versions of every resource type on every stream of a proxy; empty if it has no stream. */
     private static String versions(Struct proxy) {
         StringBuilder versions = new StringBuilder();
         for (Value stream : proxy.getFieldsOrThrow("streams").getListValue().getValuesList()) {
--- a/cli/src/main/java/stonelb/cli/TrafficReplay.java
+++ b/cli/src/main/java/stonelb/cli/TrafficReplay.java
@@ -7,10 +7,10 @@
 
 /** Sends the same generated traffic to all compared deployments at once and records what reaches their plan servers. */
 final class TrafficReplay {
-    /** No proxy fails during the traffic. */
+    /** Means that no proxy fails during the traffic. */
     static final int NO_PROXY = -1;
 
-    /** A load balancer in front of the proxies notices after this time that one has failed. */
+    /** The time that a load balancer in front of the proxies takes to detect a failed one. */
     private static final double FAILURE_DETECTION_MS = 1000;
 
     private static final int DEPLOYMENTS = 3;
@@ -31,9 +31,9 @@
      * Prepares a replay.
      *
      * @param requests the traffic, ordered by time
-     * @param failingProxy the entry point whose requests are lost from half time on in every deployment, until the next
-     *     entry point takes them over; its proxy is closed at the end. {@link #NO_PROXY} for none
-     * @param atHalfTime runs on a thread of its own when half of the traffic has passed
+     * @param failingProxy the entry point whose requests are dropped in every deployment from half time until the failure
+     *     is detected, and then sent to the next entry point; its proxy is closed at the end. {@link #NO_PROXY} for none
+     * @param atHalfTime run on its own thread after half of the traffic
      */
     TrafficReplay(
             ComparedDeployments deployments, List<GeneratedRequest> requests, int failingProxy, Runnable atHalfTime) {
@@ -53,12 +53,12 @@
         return gatewayDrift;
     }
 
-    /** How many responses of each HTTP status came through proxies; 0 where there was no response. */
+    /** The number of responses through proxies by HTTP status; status 0 stands for no response. */
     Map<Integer, Integer> proxyStatuses() {
         return proxyStatuses;
     }
 
-    /** How many responses of each HTTP status came through gateways; 0 where there was no response. */
+    /** The number of responses through gateways by HTTP status; status 0 stands for no response. */
     Map<Integer, Integer> gatewayStatuses() {
         return gatewayStatuses;
     }
@@ -85,24 +85,24 @@
         if (failingProxy != NO_PROXY) {
             deployments.proxy(failingProxy).close();
         }
-        forgetArrivals();
+        clearReceivedRequests();
     }
 
     private void recordArrivals(double startMs) {
-        deployments.gateways().platform().heard = request -> {
+        deployments.gateways().platform().onRequest = request -> {
             proxyDrift.recordReference(request.customer(), request.atMs() - startMs);
             gatewayDrift.recordReference(request.customer(), request.atMs() - startMs);
         };
-        deployments.secondGateways().platform().heard =
+        deployments.secondGateways().platform().onRequest =
                 request -> gatewayDrift.recordCandidate(request.customer(), request.atMs() - startMs);
-        deployments.proxies().platform().heard =
+        deployments.proxies().platform().onRequest =
                 request -> proxyDrift.recordCandidate(request.customer(), request.atMs() - startMs);
     }
 
-    private void forgetArrivals() {
-        deployments.gateways().platform().ran.clear();
-        deployments.secondGateways().platform().ran.clear();
-        deployments.proxies().platform().ran.clear();
+    private void clearReceivedRequests() {
+        deployments.gateways().platform().receivedRequests.clear();
+        deployments.secondGateways().platform().receivedRequests.clear();
+        deployments.proxies().platform().receivedRequests.clear();
     }
 
     private void send(GeneratedRequest request, int entryPoint) {
--- a/cli/src/main/java/stonelb/cli/TrafficShape.java
+++ b/cli/src/main/java/stonelb/cli/TrafficShape.java
@@ -1,12 +1,12 @@
 package stonelb.cli;
 
 /**
- * How much clinics send, as a multiple of their quotas' rates.
+ * The load of customers, as a multiple of their quota rates.
  *
  * @param name the name in reports
- * @param load the multiple outside of a burst
- * @param burstPlan the plan whose clinics send more during the middle third of the traffic; null for none
- * @param burstFactor by how much {@code load} is multiplied for them
+ * @param load the multiple outside a burst
+ * @param burstPlan the plan whose customers send more during the middle third of the traffic; null for none
+ * @param burstFactor the factor applied to {@code load} for them
  */
 record TrafficShape(String name, double load, QuotaPlan burstPlan, double burstFactor) {
 
--- a/cli/src/main/java/stonelb/cli/TryCommand.java
+++ b/cli/src/main/java/stonelb/cli/TryCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import stonelb.proxy.StandInProxy;
+import stonelb.proxy.StubProxy;
 import stonelb.standins.StubFleet;
 
 /** Runs a stub platform, a gateway, the control service and a proxy in one process, with generated traffic. */
@@ -22,14 +22,14 @@
     private static final int ENTRY_POINTS = 2;
     private static final int GATEWAY_ENTRY_POINT = 0;
     private static final double WORK_MS = 20;
-    private static final int CLINICS = 20;
+    private static final int CUSTOMERS = 20;
     private static final double SECOND_MS = 1000;
 
     /** The plans of {@link StubFleet#PLANS}. */
     private static final List<QuotaPlan> PLANS =
             List.of(new QuotaPlan("consulta", 2, 8), new QuotaPlan("centro", 4, 16), new QuotaPlan("red", 10, 20));
 
-    /** The quotas' rates of all clinics together: 12 have the first plan, 6 the second, 2 the third. */
+    /** The sum of the quota rates of all customers: 12 have the first plan, 6 the second, 2 the third. */
     private static final double ALLOWED_UNITS_PER_SECOND = 12 * 2 + 6 * 4 + 2 * 10;
 
     /** The load alternates between half of the quotas and twice the quotas. */
@@ -53,7 +53,7 @@
         try (LocalDeployment deployment = new LocalDeployment(PLAN_SERVERS, ENTRY_POINTS, StubFleet.PLANS, WORK_MS)) {
             int gatewayPort = deployment.startGateway("gateway");
             deployment.startControlService();
-            StandInProxy proxy = deployment.startProxy("proxy");
+            StubProxy proxy = deployment.startProxy("proxy");
             int controlPort = deployment.controlService().port();
             printHeader(gatewayPort, proxy.port(), controlPort);
             sendTraffic(deployment, gatewayPort, proxy.port());
@@ -81,7 +81,7 @@
     }
 
     private void sendTraffic(LocalDeployment deployment, int gatewayPort, int proxyPort) {
-        TrafficGenerator generator = new TrafficGenerator(PLANS, CLINICS, ENTRY_POINTS, SECOND_MS);
+        TrafficGenerator generator = new TrafficGenerator(PLANS, CUSTOMERS, ENTRY_POINTS, SECOND_MS);
         ResponseCounts gatewayCounts = new ResponseCounts();
         ResponseCounts proxyCounts = new ResponseCounts();
         for (int second = 1; seconds == 0 || second <= seconds; second++) {
@@ -100,7 +100,7 @@
         }
     }
 
-    /** A seed for each second, whose lower bits, from which clinics get their IDs, stay the same. */
+    /** Returns a seed for each second; its lower bits, which determine the customer IDs, stay the same. */
     private static long seed(int second) {
         return ((long) second << 16) | 5;
     }
@@ -121,7 +121,7 @@
         out().flush();
     }
 
-    /** What to print where the load changes with the next second. */
+    /** Returns the note to print if the load changes with the next second. */
     private static String loadChange(int second) {
         return switch (second % LOAD_PERIOD_SECONDS) {
             case HIGH_LOAD_FROM_SECOND -> "   (from here on they ask for twice their quotas)";
--- a/cli/src/main/java/stonelb/cli/package-info.java
+++ b/cli/src/main/java/stonelb/cli/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The command line: one class for each command of {@code ./stonelb}, and the measurements behind {@code measure}, which
+ * The command line: one class per command of {@code ./stonelb}, and the measurements behind {@code measure}, which
  * run stub platforms, gateways, a control service and proxies in this process.
  */
 package stonelb.cli;
--- a/cli/src/test/java/stonelb/cli/AtomicFileWriterTest.java
+++ b/cli/src/test/java/stonelb/cli/AtomicFileWriterTest.java
@@ -19,7 +19,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Files are written whole or not at all, and a command that can't write one says so. */
+/** Tests that a failed write leaves the old file unchanged and that the command reports the failure. */
 class AtomicFileWriterTest {
     private static final String OLD_CONTENT = "old content";
 
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void replacesTheFileAndLeavesNoOther() throws IOException {
+    void replacesFileAndLeavesNoTemporaryFile() throws IOException {
         Path file = folder.resolve("file");
         Files.writeString(file, OLD_CONTENT);
         AtomicFileWriter.write(file, "new content");
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void failureHalfWayLeavesTheOldFileAlone() throws IOException {
+    void failedWriteKeepsOldFile() throws IOException {
         Path file = folder.resolve("file");
         Files.writeString(file, OLD_CONTENT);
         IOException failure = assertThrows(
@@ -57,16 +57,16 @@
     }
 
     @Test
-    void missingFolderIsNamedInOneLine() {
+    void missingFolderIsReportedInOneLine() {
         Path file = folder.resolve("missing").resolve("file");
         IOException failure = assertThrows(IOException.class, () -> AtomicFileWriter.write(file, "text"));
         assertEquals("can't write " + file + ": its folder does not exist", failure.getMessage());
     }
 
-    /** The operating system ends the write in the middle of the chart, as a full disk would. */
+    /** A file size limit makes the write fail in the middle of the chart, as a full disk would. */
     @Test
     @Timeout(120)
-    void commandThatCanNotWriteItsChartFailsAndKeepsTheOldOne() throws Exception {
+    void commandThatCannotWriteChartFailsAndKeepsOldFile() throws Exception {
         Path chart = folder.resolve("chart.png");
         Files.writeString(chart, OLD_CONTENT);
         Process command = new ProcessBuilder(
@@ -84,16 +84,17 @@
                 .start();
         String errors = new String(command.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
         assertTrue(command.waitFor(60, TimeUnit.SECONDS), "the command has not ended");
-        // The system's font library may report on its own cache before, since the limit holds for that as well.
-        List<String> ownLines =
+        // The system's font library may first report a failed write of its cache, since the limit applies to that as
+        // well.
+        List<String> errorLines =
                 errors.lines().filter(line -> !line.startsWith("write cache: ")).toList();
-        assertEquals(List.of("stonelb: can't write " + chart + ": File too large"), ownLines);
+        assertEquals(List.of("stonelb: can't write " + chart + ": File too large"), errorLines);
         assertEquals(1, command.exitValue());
         assertArrayEquals(OLD_CONTENT.getBytes(StandardCharsets.UTF_8), Files.readAllBytes(chart));
         assertEquals(List.of(chart), filesInFolder());
     }
 
-    /** The command line with one more command, which draws a chart of fixed figures. */
+    /** Runs the command line with an additional command, which draws a chart of fixed figures. */
     static final class ChartProgram {
         public static void main(String[] args) {
             System.exit(
@@ -101,7 +102,7 @@
         }
     }
 
-    /** Draws a chart without the measurement that comes before. */
+    /** Draws a chart without running a measurement. */
     @Command(name = "chart")
     static final class ChartCommand implements Callable<Integer> {
         @Parameters
--- a/control/src/main/java/stonelb/control/AnyIssuerTrustManager.java
+++ b/control/src/main/java/stonelb/control/AnyIssuerTrustManager.java
@@ -7,9 +7,9 @@
 import javax.net.ssl.X509ExtendedTrustManager;
 
 /**
- * Names no authorities to clients and leaves every check to another trust manager. The list of authorities that a server
- * names is fixed when it starts, and a client whose certificate is of an authority added later would find its own
- * missing there and show no certificate.
+ * Sends no list of accepted issuers to clients and delegates every check to another trust manager. A server's list of
+ * accepted issuers is fixed when it starts, so a client whose certificate was issued by an authority added afterwards
+ * would not find its issuer in the list and would send no certificate.
  */
 final class AnyIssuerTrustManager extends X509ExtendedTrustManager {
     private final X509ExtendedTrustManager delegate;
--- a/control/src/main/java/stonelb/control/AssignmentEncoder.java
+++ b/control/src/main/java/stonelb/control/AssignmentEncoder.java
@@ -13,7 +13,7 @@
 import stonelb.control.resources.ResourceFactory;
 import stonelb.decision.DecisionSettings;
 
-/** Turns quota assignments into the actions of {@code envoy.service.rate_limit_quota.v3}. */
+/** Converts quota assignments to the actions of {@code envoy.service.rate_limit_quota.v3}. */
 final class AssignmentEncoder {
     private final DecisionSettings settings;
     private final ResourceFactory resources;
@@ -36,7 +36,7 @@
                 .build();
     }
 
-    /** A token bucket that starts full with the credit and refills at the fallback rate; without credit, deny all. */
+    /** A token bucket that initially holds the credit and refills at the fallback rate; without credit, deny all. */
     private RateLimitStrategy.Builder strategy(QuotaAssignment assignment) {
         RateLimitStrategy.Builder strategy = RateLimitStrategy.newBuilder();
         if (assignment.credit() <= 0) {
--- a/control/src/main/java/stonelb/control/AssignmentOutbox.java
+++ b/control/src/main/java/stonelb/control/AssignmentOutbox.java
@@ -9,14 +9,14 @@
 import stonelb.control.quota.QuotaAssignment;
 
 /**
- * Assignments waiting to be sent on one quota stream. While the proxy does not read, a later assignment of a bucket
- * replaces the earlier one, so the number waiting is bounded by the number of buckets.
+ * Assignments pending on one quota stream. While the proxy does not read, a newer assignment of a bucket replaces the
+ * older one, so the number of pending assignments is bounded by the number of buckets.
  */
 final class AssignmentOutbox {
     private final ServerCallStreamObserver<RateLimitQuotaResponse> stream;
     private final AssignmentEncoder encoder;
-    private final Map<BucketKey, QuotaAssignment> waiting = new LinkedHashMap<>();
-    private double waitingSince;
+    private final Map<BucketKey, QuotaAssignment> pending = new LinkedHashMap<>();
+    private double oldestPendingAt;
     private boolean closed;
 
     AssignmentOutbox(ServerCallStreamObserver<RateLimitQuotaResponse> stream, AssignmentEncoder encoder) {
@@ -25,26 +25,26 @@
     }
 
     void add(QuotaAssignment assignment, double now) {
-        if (waiting.isEmpty()) {
-            waitingSince = now;
+        if (pending.isEmpty()) {
+            oldestPendingAt = now;
         }
-        waiting.put(assignment.key(), assignment);
+        pending.put(assignment.key(), assignment);
     }
 
-    /** Sends what waits in one message, where the stream is ready for one. */
+    /** Sends all pending assignments in one message if the stream is ready. */
     void flush() {
-        if (closed || waiting.isEmpty() || !stream.isReady()) {
+        if (closed || pending.isEmpty() || !stream.isReady()) {
             return;
         }
         RateLimitQuotaResponse.Builder response = RateLimitQuotaResponse.newBuilder();
-        waiting.values().forEach(assignment -> response.addBucketAction(encoder.toBucketAction(assignment)));
-        waiting.clear();
+        pending.values().forEach(assignment -> response.addBucketAction(encoder.toBucketAction(assignment)));
+        pending.clear();
         stream.onNext(response.build());
     }
 
-    /** How long the oldest assignment has been waiting, in ms; 0 where none waits. */
-    double waitedMs(double now) {
-        return waiting.isEmpty() ? 0 : now - waitingSince;
+    /** How long the oldest assignment has been pending, in ms; 0 if none is pending. */
+    double oldestPendingMs(double now) {
+        return pending.isEmpty() ? 0 : now - oldestPendingAt;
     }
 
     /** Ends the stream with a status; further calls do nothing. */
@@ -53,7 +53,7 @@
             return;
         }
         closed = true;
-        waiting.clear();
+        pending.clear();
         if (stream.isCancelled()) {
             return;
         }
--- a/control/src/main/java/stonelb/control/ControlPlane.java
+++ b/control/src/main/java/stonelb/control/ControlPlane.java
@@ -12,8 +12,8 @@
 import stonelb.config.Configuration;
 import stonelb.config.InvalidConfigurationException;
 import stonelb.control.quota.CounterMultiplexer;
-import stonelb.control.resources.QuotaTerms;
 import stonelb.control.resources.ResourceFactory;
+import stonelb.control.resources.ResourceOptions;
 import stonelb.control.xds.AdsServer;
 import stonelb.control.xds.ProxyStreams;
 import stonelb.control.xds.StreamLimits;
@@ -28,8 +28,8 @@
 import stonelb.io.RateLimitedLog;
 
 /**
- * All that the control service keeps on its event loop: the registered proxies, their streams and resources, and the
- * connections to discovery and to the quota counter. Call it on that loop alone.
+ * The state that the control service keeps on its event loop: the registered proxies, their streams and resources, and
+ * the connections to discovery and to the quota counter. Only to be called on that loop.
  */
 final class ControlPlane {
     private static final double USAGE_REPORTS_PER_LOAD_REPORT = 2;
@@ -81,7 +81,7 @@
                 configuration.deadlinesMs(),
                 configuration.plans(),
                 configuration.connectTimeoutMs(),
-                new QuotaTerms(settings.reportMs(), settings.fallbackMs(), settings.grpcListener()));
+                new ResourceOptions(settings.reportMs(), settings.fallbackMs(), settings.grpcListener()));
     }
 
     private StreamLimits streamLimits() {
@@ -89,7 +89,7 @@
                 settings.maxStreams(), ControlLimits.MAX_RESOURCE_NAMES, ControlLimits.STALL_TIMEOUT_MS);
     }
 
-    /** The endpoint list, filled from the configuration where that holds a cached one. */
+    /** The endpoint list, initialized from the configuration if that contains a cached one. */
     private EndpointList endpointList() throws InvalidConfigurationException {
         EndpointList endpoints = new EndpointList(
                 configuration.zones(), EndpointStartTimes.withSystemClock(loop::now), registry, directory);
@@ -104,7 +104,7 @@
         return endpoints;
     }
 
-    /** Puts a proxy in the registry while it has a stream. */
+    /** Informs the registry when a proxy opens or closes an ADS stream. */
     private final class RegistryStreamListener implements StreamListener {
         @Override
         public void streamOpened(Node node) {
@@ -119,7 +119,7 @@
 
     private void sweep(double now, long token) {
         loop.timers().scheduleAfter(ControlLimits.SWEEP_INTERVAL_MS, this::sweep, 0);
-        ads.sweep();
+        ads.closeStalledStreams();
     }
 
     /** Publishes new routes to all proxies. */
@@ -133,15 +133,15 @@
         double loadReportIntervalMs = USAGE_REPORTS_PER_LOAD_REPORT * settings.reportMs();
         return List.of(
                 ServerInterceptors.intercept(discovery.getAggregatedDiscoveryServiceImpl(), ads.interceptor()),
-                identified(new RateLimitQuotaService(registry, reports, encoder)),
-                identified(new LoadReportingService(reports, loadReportIntervalMs)));
+                withNodeIdentity(new RateLimitQuotaService(registry, reports, encoder)),
+                withNodeIdentity(new LoadReportingService(reports, loadReportIntervalMs)));
     }
 
-    private static ServerServiceDefinition identified(BindableService service) {
+    private static ServerServiceDefinition withNodeIdentity(BindableService service) {
         return ServerInterceptors.intercept(service, new NodeIdentityInterceptor());
     }
 
-    /** Units that unexpired leases still allow, by customer. */
+    /** Unused units of unexpired leases, by customer. */
     Map<Long, Double> leasedUnits() {
         Map<Long, Double> units = new HashMap<>();
         for (RegisteredProxy proxy : registry.proxies()) {
@@ -149,13 +149,13 @@
                     .bucketStatuses()
                     .forEach(bucket -> units.merge(
                             bucket.key().customer(),
-                            bucket.live() * bucket.key().cost(),
+                            bucket.outstandingCredit() * bucket.key().cost(),
                             Double::sum));
         }
         return units;
     }
 
-    /** The whole state, as {@code control status} shows it. */
+    /** The complete state, as {@code control status} shows it. */
     Struct status(double startedAt) {
         double now = loop.now();
         List<Struct> proxies = registry.proxies().stream()
--- a/control/src/main/java/stonelb/control/ControlService.java
+++ b/control/src/main/java/stonelb/control/ControlService.java
@@ -23,8 +23,8 @@
 import stonelb.io.RateLimitedLog;
 
 /**
- * The control service: decisions of the engine, handed to proxies over xDS. One event loop owns all state; the threads
- * of gRPC only carry bytes and hand every message to it.
+ * The control service: sends the engine's decisions to proxies over xDS. One event loop owns all state; gRPC's threads
+ * only do I/O and pass every message to that loop.
  */
 public final class ControlService implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(ControlService.class);
@@ -50,10 +50,10 @@
     }
 
     /**
-     * Starts to serve.
+     * Loads the description and the certificates, and starts to listen.
      *
      * @throws InvalidConfigurationException where the configuration, the description or a certificate is not valid
-     * @throws IOException where the address can't be listened on
+     * @throws IOException if the service can't listen on the address
      */
     public void start() throws InvalidConfigurationException, IOException {
         DescriptionFile description = new DescriptionFile(
@@ -135,7 +135,7 @@
         }
     }
 
-    /** Runs a task of gRPC on the event loop; one that comes after the loop has been shut down is dropped. */
+    /** Runs a gRPC task on the event loop; a task submitted after the loop was shut down is dropped. */
     private void executeOnLoop(Runnable task) {
         try {
             loop.execute(task);
@@ -149,7 +149,7 @@
         return server.getPort();
     }
 
-    /** Units that unexpired leases still allow, by customer; empty where the event loop does not answer in time. */
+    /** Unused units of unexpired leases, by customer; empty if the event loop does not answer in time. */
     public Map<Long, Double> leasedUnits() {
         CompletableFuture<Map<Long, Double>> units = new CompletableFuture<>();
         loop.execute(() -> units.complete(controlPlane.leasedUnits()));
@@ -161,7 +161,7 @@
         return controlPlane.status(startedAt);
     }
 
-    /** Ends at once, as a crash would: proxies continue with the assignments and resources that they have. */
+    /** Shuts down without draining, as a crash would: proxies continue with their current assignments and resources. */
     @Override
     public void close() {
         if (server != null) {
--- a/control/src/main/java/stonelb/control/ControlSettings.java
+++ b/control/src/main/java/stonelb/control/ControlSettings.java
@@ -12,20 +12,20 @@
 import stonelb.config.InvalidConfigurationException;
 
 /**
- * The settings of the control service, as read from {@code deploy/control.json}; docs/control.md lists the keys. Times in
- * milliseconds.
+ * The settings of the control service, as read from {@code deploy/control.json}; docs/control.md lists the keys. Times
+ * are in milliseconds.
  *
- * @param listen where proxies connect
+ * @param listen the address that proxies connect to
  * @param gateway the configuration file of a gateway, whose settings, discovery and counter this service shares
  * @param description the OpenAPI description file
- * @param reloadMs between checks of the description file
- * @param tls null for plaintext, which is allowed on loopback addresses only
- * @param reportMs between usage reports of a proxy on one bucket
- * @param horizonMs how far ahead requests are leased
+ * @param reloadMs interval between checks of the description file
+ * @param tls the TLS files, or null for plaintext, which is allowed on loopback addresses only
+ * @param reportMs interval between usage reports of a proxy on one bucket
+ * @param horizonMs length of the period of expected requests that a lease covers
  * @param lifeMs time to live of an assignment
  * @param fallbackMs how long a proxy may use the fallback quota after an assignment has expired
- * @param maxStreams limit of ADS streams
- * @param maxBuckets limit of quota buckets per proxy
+ * @param maxStreams maximum number of ADS streams
+ * @param maxBuckets maximum number of quota buckets per proxy
  * @param grpcListener the name that proxyless gRPC clients resolve, or null
  */
 public record ControlSettings(
@@ -60,19 +60,19 @@
     private static final Set<String> TLS_KEYS = Set.of("certificate", "key", "clients");
 
     /**
-     * Files in PEM form.
+     * The TLS files, in PEM format.
      *
      * @param certificate the certificate chain of this service
      * @param key its private key
-     * @param clients the authorities that sign proxies' certificates
+     * @param clients the certificate authorities that sign proxies' certificates
      */
     public record Tls(Path certificate, Path key, Path clients) {}
 
     /**
      * Reads a settings file.
      *
-     * @return the settings, or null where the file says that the service is off
-     * @throws InvalidConfigurationException with one line that names the key at fault
+     * @return the settings, or null if the file disables the service
+     * @throws InvalidConfigurationException with a one-line message that names the invalid key
      */
     public static ControlSettings read(Path file) throws InvalidConfigurationException {
         try {
@@ -91,10 +91,10 @@
         }
         SettingsReader reader = new SettingsReader(file, root);
         reader.rejectUnknownKeys("", KEYS);
-        if (!reader.flag("enabled", true)) {
+        if (!reader.bool("enabled", true)) {
             return null;
         }
-        InetSocketAddress listen = Configuration.address(file + ": listen", reader.text("listen"));
+        InetSocketAddress listen = Configuration.address(file + ": listen", reader.string("listen"));
         Tls tls = readTls(reader, listen);
         ControlSettings settings = new ControlSettings(
                 listen,
@@ -108,22 +108,22 @@
                 reader.number("fallbackMs", 60_000, 1, 3_600_000),
                 (int) reader.number("maxStreams", 4000, 1, 1_000_000),
                 (int) reader.number("maxBuckets", 20_000, 1, 10_000_000),
-                reader.optionalText("grpcListener"));
+                reader.optionalString("grpcListener"));
         if (settings.lifeMs() < 2 * settings.reportMs()) {
             throw new InvalidConfigurationException(
-                    file + ": 'lifeMs' is under twice 'reportMs', so leases would end between reports");
+                    file + ": 'lifeMs' must be at least twice 'reportMs', or leases would expire between reports");
         }
         return settings;
     }
 
-    /** The TLS files, or null for plaintext; exactly one of the two keys has to be set. */
+    /** The TLS files, or null for plaintext; exactly one of {@code tls} and {@code plaintext: true} is required. */
     private static Tls readTls(SettingsReader reader, InetSocketAddress listen) throws InvalidConfigurationException {
-        boolean plaintext = reader.flag("plaintext", false);
+        boolean plaintext = reader.bool("plaintext", false);
         if (plaintext == reader.has("tls")) {
-            throw reader.invalid("'tls' has to be there, or 'plaintext' true, and not both");
+            throw reader.invalid("exactly one of 'tls' and 'plaintext': true is required");
         }
         if (plaintext && !listen.getAddress().isLoopbackAddress()) {
-            throw reader.invalid("'plaintext' is taken where 'listen' is a loopback address");
+            throw reader.invalid("'plaintext' requires 'listen' to be a loopback address");
         }
         if (plaintext) {
             return null;
--- a/control/src/main/java/stonelb/control/EndpointDirectory.java
+++ b/control/src/main/java/stonelb/control/EndpointDirectory.java
@@ -25,7 +25,7 @@
     private final Map<Long, Endpoint> endpoints = new TreeMap<>();
     private IntFunction<String> zoneNames;
 
-    /** Sets how the number of a zone becomes its name. */
+    /** Sets the function that maps a zone's number to its name. */
     void setZoneNames(IntFunction<String> zoneNames) {
         this.zoneNames = zoneNames;
     }
@@ -45,7 +45,7 @@
         idsByAddress.values().retainAll(listed);
     }
 
-    /** Applies a snapshot or a change of the endpoint list. */
+    /** Applies a snapshot of the endpoint list or a change to it. */
     void apply(EndpointListType type, List<Endpoint> list) {
         if (type != EndpointListType.DELTA) {
             endpoints.clear();
@@ -65,12 +65,12 @@
         idsByAddress.values().remove(id);
     }
 
-    /** All endpoints, in the order of their ids. */
+    /** All endpoints, ordered by id. */
     List<Endpoint> endpoints() {
         return List.copyOf(endpoints.values());
     }
 
-    /** The id of the endpoint at {@code host:port}, or null where none listens there. */
+    /** The id of the endpoint at {@code host:port}, or null if the list has none. */
     Long idAt(String address) {
         return idsByAddress.get(address);
     }
--- a/control/src/main/java/stonelb/control/EndpointLoadReport.java
+++ b/control/src/main/java/stonelb/control/EndpointLoadReport.java
@@ -6,8 +6,8 @@
  * @param address {@code host:port} as the proxy knows the endpoint
  * @param succeeded requests answered without error
  * @param failed requests that ended with an error
- * @param inFlight requests in flight now
- * @param totalLatencyMs latencies of the measured requests, summed
+ * @param inFlight requests in flight at the time of the report
+ * @param totalLatencyMs sum of the latencies of the measured requests
  * @param measured requests whose latency was measured
  */
 record EndpointLoadReport(
--- a/control/src/main/java/stonelb/control/LoadReportingService.java
+++ b/control/src/main/java/stonelb/control/LoadReportingService.java
@@ -12,9 +12,12 @@
 import io.grpc.Status;
 import io.grpc.stub.StreamObserver;
 
-/** The Load Reporting Service (LRS, {@code envoy.service.load_stats.v3}): what proxies measure at the endpoints. */
+/**
+ * The Load Reporting Service (LRS, {@code envoy.service.load_stats.v3}): receives what proxies measure at the
+ * endpoints.
+ */
 final class LoadReportingService extends LoadReportingServiceImplBase {
-    /** The named metric that holds latencies in ms, summed over the requests that were measured. */
+    /** The named metric for the sum of the latencies of the measured requests, in ms. */
     static final String LATENCY_METRIC = "latency_ms";
 
     private static final double MIN_INTERVAL_MS = 50;
@@ -55,7 +58,7 @@
             }
         }
 
-        /** Takes the node from the first report or else from the header, and asks for reports on all endpoints. */
+        /** Determines the node from the first report or else from the header, and requests reports on all endpoints. */
         private boolean identify(String reportedNode) {
             String candidate = reportedNode.isEmpty() ? headerNode : reportedNode;
             if (!isPermitted(candidate)) {
@@ -77,7 +80,7 @@
         private boolean isPermitted(String candidate) {
             return candidate != null
                     && (headerNode == null || candidate.equals(headerNode))
-                    && NodeIdentityInterceptor.peerMaySpeakFor(candidate);
+                    && NodeIdentityInterceptor.isPeerAuthorizedFor(candidate);
         }
 
         private void report(ClusterStats cluster) {
@@ -126,7 +129,7 @@
         }
     }
 
-    /** Counts are unsigned on the wire: one of 2^63 or more reads as negative and cannot be true. */
+    /** Counts are unsigned on the wire: 2^63 or more is read as a negative number and is not plausible. */
     private static boolean hasValidCounts(UpstreamEndpointStats endpoint) {
         return endpoint.getTotalSuccessfulRequests() >= 0
                 && endpoint.getTotalErrorRequests() >= 0
--- a/control/src/main/java/stonelb/control/NodeIdentityInterceptor.java
+++ b/control/src/main/java/stonelb/control/NodeIdentityInterceptor.java
@@ -24,10 +24,10 @@
             Metadata.Key.of(ResourceFactory.NODE_HEADER, Metadata.ASCII_STRING_MARSHALLER);
     private static final int MAX_NODE_LENGTH = 256;
 
-    /** Whether the peer of the current call may speak for the node. */
-    static boolean peerMaySpeakFor(String node) {
+    /** Whether the peer of the current call is authorized to act as the node. */
+    static boolean isPeerAuthorizedFor(String node) {
         Attributes connection = CONNECTION.get();
-        return connection == null || ProxyIdentity.maySpeakFor(connection, node);
+        return connection == null || ProxyIdentity.isAuthorizedFor(connection, node);
     }
 
     @Override
@@ -45,6 +45,6 @@
     }
 
     private static boolean isPermitted(String node, Attributes connection) {
-        return !node.isBlank() && node.length() <= MAX_NODE_LENGTH && ProxyIdentity.maySpeakFor(connection, node);
+        return !node.isBlank() && node.length() <= MAX_NODE_LENGTH && ProxyIdentity.isAuthorizedFor(connection, node);
     }
 }
--- a/control/src/main/java/stonelb/control/ProxyRegistry.java
+++ b/control/src/main/java/stonelb/control/ProxyRegistry.java
@@ -20,13 +20,13 @@
 import stonelb.discovery.EndpointListener;
 
 /**
- * The proxies that follow this service, from their first stream until they have been disconnected for as long as their
- * leases may last. Everything here runs on the event loop and does no I/O of its own.
+ * The proxies that use this service, from their first stream until they have been disconnected for as long as their
+ * leases and the fallback quota may last. All methods run on the event loop and do no I/O of their own.
  */
 final class ProxyRegistry implements EndpointListener {
     private static final Logger LOG = LoggerFactory.getLogger(ProxyRegistry.class);
 
-    /** The golden ratio as a 64-bit fraction: spreads consecutive seeds over all bits. */
+    /** The golden ratio as a 64-bit fraction: distributes consecutive seeds over all bits. */
     private static final long SEED_MULTIPLIER = 0x9e3779b97f4a7c15L;
 
     private final Configuration configuration;
@@ -70,17 +70,17 @@
         proxies.values().forEach(publisher::publish);
     }
 
-    /** All proxies, in the order of their nodes. */
+    /** All proxies, ordered by node. */
     Collection<RegisteredProxy> proxies() {
         return List.copyOf(proxies.values());
     }
 
-    /** The proxy of that node, or null. */
+    /** The proxy of the node, or null. */
     RegisteredProxy get(String node) {
         return proxies.get(node);
     }
 
-    /** The proxy of that node, registered now where it is new. */
+    /** The proxy of the node, which is registered if it is new. */
     RegisteredProxy getOrRegister(String node) {
         RegisteredProxy proxy = proxies.get(node);
         if (proxy == null) {
@@ -113,12 +113,12 @@
         return proxy;
     }
 
-    /** An ADS stream of the node was opened: its resources are published before this returns. */
+    /** Handles a new ADS stream of the node; the node's resources are published before this returns. */
     void streamOpened(String node) {
         publisher.publish(getOrRegister(node));
     }
 
-    /** A stream of the node was closed; without any other stream the proxy is disconnected from now on. */
+    /** Handles the end of a stream of the node; without another stream the proxy is marked as disconnected. */
     void streamClosed(String node) {
         RegisteredProxy proxy = proxies.get(node);
         if (proxy != null && !proxy.hasQuotaStream() && !streams.isConnected(node)) {
@@ -126,12 +126,12 @@
         }
     }
 
-    /** A quota stream of the node was opened; it replaces an older one. */
+    /** Handles a new quota stream of the node; it replaces an older one. */
     void quotaStreamOpened(String node, AssignmentOutbox outbox) {
         getOrRegister(node).openQuotaStream(outbox);
     }
 
-    /** A quota stream of the node was closed by the proxy, or has to be. */
+    /** Handles the end of a quota stream, closed by the proxy or rejected by this service. */
     void quotaStreamClosed(String node, AssignmentOutbox outbox) {
         RegisteredProxy proxy = proxies.get(node);
         outbox.close(Status.OK);
@@ -141,7 +141,10 @@
         }
     }
 
-    /** Each proxy's engine hears of the change, and its resources leave in the same turn, draining endpoints included. */
+    /**
+     * Applies the change to each proxy's engine and publishes the proxy's resources, draining endpoints included, at
+     * once.
+     */
     @Override
     public void endpointsChanged(EndpointListType type, List<Endpoint> list) {
         directory.apply(type, list);
@@ -165,13 +168,13 @@
         for (RegisteredProxy proxy : proxies()) {
             proxy.quota().removeIdle();
             closeStalledQuotaStream(proxy, now);
-            removeIfGone(proxy, now);
+            removeIfExpired(proxy, now);
         }
     }
 
     private void closeStalledQuotaStream(RegisteredProxy proxy, double now) {
         AssignmentOutbox outbox = proxy.quotaStream();
-        if (outbox == null || outbox.waitedMs(now) <= ControlLimits.STALL_TIMEOUT_MS) {
+        if (outbox == null || outbox.oldestPendingMs(now) <= ControlLimits.STALL_TIMEOUT_MS) {
             return;
         }
         proxy.removeQuotaStream();
@@ -180,8 +183,8 @@
         streamClosed(proxy.node());
     }
 
-    /** Removes a proxy whose leases have ended and whose fallback has run out: it can have nothing in flight. */
-    private void removeIfGone(RegisteredProxy proxy, double now) {
+    /** Removes a proxy whose leases and fallback quota have expired: it can have no requests in flight. */
+    private void removeIfExpired(RegisteredProxy proxy, double now) {
         double disconnectedMs = proxy.disconnectedMs(now);
         if (disconnectedMs > settings.lifeMs() + settings.fallbackMs()) {
             proxy.quota().close();
--- a/control/src/main/java/stonelb/control/ProxyReports.java
+++ b/control/src/main/java/stonelb/control/ProxyReports.java
@@ -10,9 +10,9 @@
 import stonelb.control.quota.ProxyQuota;
 import stonelb.control.resources.ResourceFactory;
 
-/** Checks the usage and load reports of proxies and passes them to the quota of their proxy. */
+/** Checks the usage and load reports of proxies and passes them to the quota of the proxy. */
 final class ProxyReports {
-    private static final Pattern TIER_CLUSTER = Pattern.compile(ResourceFactory.CLUSTER + "\\d{1,3}");
+    private static final Pattern TIER_CLUSTER = Pattern.compile(ResourceFactory.CLUSTER_PREFIX + "\\d{1,3}");
 
     private final Configuration configuration;
     private final ProxyRegistry registry;
@@ -28,29 +28,32 @@
         limits = new BucketLimits(
                 configuration.plans(),
                 configuration.settings().gateways(),
-                configuration.settings().largestUnits());
+                configuration.settings().maxUnits());
     }
 
-    /** Usage of a bucket. An invalid bucket, or one too many, is counted as an implausible report and ignored. */
+    /**
+     * Processes the usage of a bucket. An invalid bucket, or one over the limit, is counted as an implausible report
+     * and ignored.
+     */
     void usageReported(String node, UsageReport report) {
         RegisteredProxy proxy = registry.getOrRegister(node);
         proxy.markUsageReport();
         BucketKey key;
         try {
-            key = BucketKey.read(report.bucketId(), limits);
+            key = BucketKey.parse(report.bucketId(), limits);
         } catch (InvalidBucketException e) {
-            proxy.implausibleReport(node + ": " + e.getMessage());
+            proxy.recordImplausibleReport(node + ": " + e.getMessage());
             return;
         }
         ProxyQuota quota = proxy.quota();
         if (quota.bucketCount() >= maxBuckets && !quota.hasBucket(key)) {
-            proxy.implausibleReport(node + ": more than " + maxBuckets + " buckets");
+            proxy.recordImplausibleReport(node + ": more than " + maxBuckets + " buckets");
             return;
         }
         quota.usageReported(key, report.allowed(), report.denied(), report.elapsedMs());
     }
 
-    /** Load of an endpoint; one that is not listed, or from a proxy that is not registered, is ignored. */
+    /** Processes the load of an endpoint; an unlisted endpoint or an unregistered proxy is ignored. */
     void loadReported(String node, EndpointLoadReport report) {
         Long endpoint = directory.idAt(report.address());
         RegisteredProxy proxy = registry.get(node);
@@ -66,18 +69,20 @@
         }
     }
 
-    /** Requests issued to the cluster of a tier, shared out evenly to the request classes that are routed there. */
+    /**
+     * Processes the requests issued to the cluster of a tier, divided evenly among the request classes routed to it.
+     */
     void requestsIssued(String node, String cluster, long issued) {
         RegisteredProxy proxy = registry.get(node);
         if (proxy == null || !TIER_CLUSTER.matcher(cluster).matches()) {
             return;
         }
-        int tier = Integer.parseInt(cluster.substring(ResourceFactory.CLUSTER.length()));
-        List<Integer> classes = classesOf(tier, proxy.quota());
+        int tier = Integer.parseInt(cluster.substring(ResourceFactory.CLUSTER_PREFIX.length()));
+        List<Integer> classes = classesRoutedTo(tier, proxy.quota());
         classes.forEach(requestClass -> proxy.quota().classObserved(requestClass, issued / classes.size()));
     }
 
-    private List<Integer> classesOf(int tier, ProxyQuota quota) {
+    private List<Integer> classesRoutedTo(int tier, ProxyQuota quota) {
         List<Integer> classes = new ArrayList<>();
         for (int requestClass = 0; requestClass < configuration.classes().size(); requestClass++) {
             if (isRoutedTo(tier, requestClass, quota)) {
--- a/control/src/main/java/stonelb/control/RateLimitQuotaService.java
+++ b/control/src/main/java/stonelb/control/RateLimitQuotaService.java
@@ -12,8 +12,8 @@
 import stonelb.control.resources.ResourceFactory;
 
 /**
- * The Rate Limit Quota Service (RLQS, {@code envoy.service.rate_limit_quota.v3}): usage reports in, quota assignments
- * out.
+ * The Rate Limit Quota Service (RLQS, {@code envoy.service.rate_limit_quota.v3}): receives usage reports and sends
+ * quota assignments.
  */
 final class RateLimitQuotaService extends RateLimitQuotaServiceImplBase {
     private static final double NANOS_PER_MS = 1e6;
@@ -62,10 +62,10 @@
 
         @Override
         public void onNext(RateLimitQuotaUsageReports message) {
-            String fault = faultOf(message);
+            String error = validationError(message);
             firstReportReceived = true;
-            if (fault != null) {
-                outbox.close(Status.INVALID_ARGUMENT.withDescription(fault));
+            if (error != null) {
+                outbox.close(Status.INVALID_ARGUMENT.withDescription(error));
                 close();
                 return;
             }
@@ -74,8 +74,8 @@
             }
         }
 
-        /** What makes a message invalid, or null. */
-        private String faultOf(RateLimitQuotaUsageReports message) {
+        /** Why the message is invalid, or null if it is valid. */
+        private String validationError(RateLimitQuotaUsageReports message) {
             if (!firstReportReceived && !message.getDomain().equals(ResourceFactory.DOMAIN)) {
                 return "the first report names the domain '" + message.getDomain() + "', not " + ResourceFactory.DOMAIN;
             }
--- a/control/src/main/java/stonelb/control/RegisteredProxy.java
+++ b/control/src/main/java/stonelb/control/RegisteredProxy.java
@@ -9,7 +9,7 @@
 import stonelb.control.quota.QuotaAssignment;
 import stonelb.core.TimerQueue;
 
-/** A proxy that follows this service: its quota, its quota stream and since when it is disconnected. */
+/** A proxy that uses this service: its quota, its quota stream and the time at which it disconnected. */
 final class RegisteredProxy {
     private static final Logger LOG = LoggerFactory.getLogger(RegisteredProxy.class);
     private static final int IMPLAUSIBLE_REPORTS_PER_LOG_LINE = 1000;
@@ -32,7 +32,7 @@
     RegisteredProxy(String node, TimerQueue timers, QuotaFactory quotas) {
         this.node = node;
         this.timers = timers;
-        quota = quotas.create(this::onAssignment, this::implausibleReport);
+        quota = quotas.create(this::onAssignment, this::recordImplausibleReport);
     }
 
     String node() {
@@ -43,7 +43,7 @@
         return quota;
     }
 
-    /** Makes this the current quota stream; an older one is closed with ABORTED. */
+    /** Sets the current quota stream; an older one is closed with ABORTED. */
     void openQuotaStream(AssignmentOutbox opened) {
         if (outbox != null) {
             outbox.close(Status.ABORTED.withDescription("a newer stream of this node takes its place"));
@@ -52,7 +52,7 @@
         quota.setReachable(true);
     }
 
-    /** Removes the current quota stream without closing it; nothing is leased until there is a new one. */
+    /** Removes the current quota stream without closing it; nothing is leased until a new one is opened. */
     void removeQuotaStream() {
         outbox = null;
         quota.setReachable(false);
@@ -75,7 +75,7 @@
         disconnectedAt = timers.now();
     }
 
-    /** For how long the proxy has had no stream, in ms; NaN while it has one. */
+    /** How long the proxy has had no stream, in ms; NaN while it has one. */
     double disconnectedMs(double now) {
         return now - disconnectedAt;
     }
@@ -84,7 +84,7 @@
         lastUsageReportAt = timers.now();
     }
 
-    /** When its last usage report came, in ms of the event loop's clock; negative infinity before the first. */
+    /** When its last usage report arrived, in ms of the event loop's clock; negative infinity before the first. */
     double lastUsageReportAt() {
         return lastUsageReportAt;
     }
@@ -101,17 +101,17 @@
         return implausibleReports;
     }
 
-    /** Counts a report that cannot be true and logs the first of every thousand. */
-    void implausibleReport(String reason) {
+    /** Counts an implausible report and logs one in a thousand, beginning with the first. */
+    void recordImplausibleReport(String reason) {
         if (implausibleReports++ % IMPLAUSIBLE_REPORTS_PER_LOG_LINE == 0) {
             LOG.warn("implausible report, limited to the lease: {} ({} so far)", reason, implausibleReports);
         }
     }
 
-    /** Queues an assignment; those of one turn of the event loop leave in one message. */
+    /** Queues an assignment; those of one event loop iteration are sent in one message. */
     private void onAssignment(QuotaAssignment assignment) {
         if (outbox == null) {
-            return; // disconnected: the fallback holds, and the next report is answered anew
+            return; // disconnected: the fallback quota applies, and the next usage report gets a new assignment
         }
         outbox.add(assignment, timers.now());
         if (!flushScheduled) {
--- a/control/src/main/java/stonelb/control/ResourcePublisher.java
+++ b/control/src/main/java/stonelb/control/ResourcePublisher.java
@@ -12,14 +12,14 @@
 
 /** Builds the resources of a proxy and publishes those whose content has changed. */
 final class ResourcePublisher {
-    /** Part of a slot limit by which it has to change before clusters are published again. */
+    /** Fraction by which a slot limit has to change before clusters are published again. */
     private static final double SLOT_CHANGE_THRESHOLD = 0.2;
 
     private final ResourceFactory factory;
     private final ProxyStreams streams;
     private final EndpointDirectory directory;
     private Routes routes;
-    private Map<String, VersionedMessage> routeResources = Map.of(); // shared by all proxies; empty: to be built
+    private Map<String, VersionedMessage> routeResources = Map.of(); // shared by all proxies; empty until built
 
     ResourcePublisher(ResourceFactory factory, ProxyStreams streams, EndpointDirectory directory) {
         this.factory = factory;
@@ -27,13 +27,13 @@
         this.directory = directory;
     }
 
-    /** Sets the routes that are published from now on. */
+    /** Sets the routes for subsequent calls of {@code publish}. */
     void setRoutes(Routes routes) {
         this.routes = routes;
         routeResources = Map.of();
     }
 
-    /** Publishes the resources of a proxy, where any has changed. */
+    /** Publishes the resources of a proxy if any has changed. */
     void publish(RegisteredProxy proxy) {
         String node = proxy.node();
         ResourceSet published = streams.published(node);
@@ -81,7 +81,9 @@
         return resources.with(ResourceType.ENDPOINTS, endpoints);
     }
 
-    /** Whether slot limits differ enough to publish them: a circuit breaker need not follow each small step. */
+    /**
+     * Whether slot limits differ enough to publish them: small changes are not worth an update of the circuit breakers.
+     */
     private static boolean slotsChanged(int[] published, int[] current) {
         if (published.length != current.length) {
             return true;
--- a/control/src/main/java/stonelb/control/SettingsReader.java
+++ b/control/src/main/java/stonelb/control/SettingsReader.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import stonelb.config.InvalidConfigurationException;
 
-/** Reads typed values from one JSON object of a settings file; faults name the file and the key. */
+/** Reads typed values from one JSON object of a settings file; error messages name the file and the key. */
 final class SettingsReader {
     private final String file;
     private final JsonObject object;
@@ -20,12 +20,12 @@
         return object.has(key);
     }
 
-    /** A fault of this file, to be thrown. */
+    /** Creates an exception whose message names the file. */
     InvalidConfigurationException invalid(String reason) {
         return new InvalidConfigurationException(file + ": " + reason);
     }
 
-    /** Throws where there is a key that is not among those; the prefix is that of nested keys in the message. */
+    /** Throws if the object has an unknown key; the prefix qualifies nested keys in the message. */
     void rejectUnknownKeys(String prefix, Set<String> knownKeys) throws InvalidConfigurationException {
         for (String key : object.keySet()) {
             if (!knownKeys.contains(key)) {
@@ -42,7 +42,7 @@
         return new SettingsReader(file, object.getAsJsonObject(key));
     }
 
-    boolean flag(String key, boolean defaultValue) throws InvalidConfigurationException {
+    boolean bool(String key, boolean defaultValue) throws InvalidConfigurationException {
         JsonElement element = object.get(key);
         if (element == null) {
             return defaultValue;
@@ -53,39 +53,39 @@
         return element.getAsBoolean();
     }
 
-    /** A text that has to be there. */
-    String text(String key) throws InvalidConfigurationException {
+    /** A required string, not blank. */
+    String string(String key) throws InvalidConfigurationException {
         JsonElement element = object.get(key);
         if (element == null) {
             throw invalid("'" + key + "' is missing");
         }
-        return text(key, element);
+        return string(key, element);
     }
 
-    /** A text, or null where there is none. */
-    String optionalText(String key) throws InvalidConfigurationException {
+    /** A string, not blank, or null if the key is missing. */
+    String optionalString(String key) throws InvalidConfigurationException {
         JsonElement element = object.get(key);
-        return element == null ? null : text(key, element);
+        return element == null ? null : string(key, element);
     }
 
-    private String text(String key, JsonElement element) throws InvalidConfigurationException {
+    private String string(String key, JsonElement element) throws InvalidConfigurationException {
         if (!element.isJsonPrimitive()
                 || !element.getAsJsonPrimitive().isString()
                 || element.getAsString().isBlank()) {
-            throw invalid("'" + key + "' is not a text");
+            throw invalid("'" + key + "' is not a non-blank string");
         }
         return element.getAsString();
     }
 
     Path path(String key) throws InvalidConfigurationException {
         try {
-            return Path.of(text(key));
+            return Path.of(string(key));
         } catch (IllegalArgumentException e) {
             throw invalid("'" + key + "' is not a path");
         }
     }
 
-    /** A number from a minimum to a maximum, both included. */
+    /** A number between a minimum and a maximum, both inclusive. */
     double number(String key, double defaultValue, double minimum, double maximum)
             throws InvalidConfigurationException {
         JsonElement element = object.get(key);
--- a/control/src/main/java/stonelb/control/StatusReport.java
+++ b/control/src/main/java/stonelb/control/StatusReport.java
@@ -10,7 +10,7 @@
 import stonelb.control.xds.StreamStatus;
 import stonelb.control.xds.SubscriptionStatus;
 
-/** The state of the service as a Struct, in the form that {@code control status} prints. */
+/** Builds the Struct that describes the state of the service for {@code control status}. */
 final class StatusReport {
     private static final double NOT_FINITE = -1;
 
@@ -20,7 +20,7 @@
         return Value.newBuilder().setStringValue(text).build();
     }
 
-    /** A number; -1 in place of one that is not finite. */
+    /** A number value; -1 if the number is not finite. */
     static Value number(double number) {
         return Value.newBuilder()
                 .setNumberValue(Double.isFinite(number) ? number : NOT_FINITE)
@@ -45,7 +45,7 @@
         double used = 0;
         for (BucketStatus bucket : quota.bucketStatuses()) {
             double cost = bucket.key().cost();
-            leased += bucket.live() * cost;
+            leased += bucket.outstandingCredit() * cost;
             granted += bucket.granted() * cost;
             used += bucket.used() * cost;
         }
--- a/control/src/main/java/stonelb/control/StatusService.java
+++ b/control/src/main/java/stonelb/control/StatusService.java
@@ -10,11 +10,11 @@
 import io.grpc.stub.StreamObserver;
 import java.util.function.Supplier;
 
-/** The gRPC service behind {@code stonelb control status}: one call that returns the whole state as a Struct. */
+/** The gRPC service behind {@code stonelb control status}: one call that returns the complete state as a Struct. */
 public final class StatusService implements BindableService {
     private static final String SERVICE_NAME = "stonelb.control.v1.Status";
 
-    /** The one method; Empty in, Struct out. */
+    /** The only method: takes Empty and returns the state as a Struct. */
     public static final MethodDescriptor<Empty, Struct> GET = MethodDescriptor.<Empty, Struct>newBuilder()
             .setType(MethodDescriptor.MethodType.UNARY)
             .setFullMethodName(MethodDescriptor.generateFullMethodName(SERVICE_NAME, "Get"))
--- a/control/src/main/java/stonelb/control/TlsCredentials.java
+++ b/control/src/main/java/stonelb/control/TlsCredentials.java
@@ -18,8 +18,8 @@
 import stonelb.io.FileFingerprint;
 
 /**
- * Mutual TLS from files that may be replaced while the service runs. The files are polled every second, and connections
- * made from then on use the new content. Files that are not valid leave the current content in use.
+ * Credentials for mutual TLS, from files that may be replaced while the service runs. The files are polled every
+ * second, and new connections use the new content. If the files are not valid, the current content stays in use.
  */
 final class TlsCredentials implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(TlsCredentials.class);
@@ -39,7 +39,7 @@
     /**
      * Reads the files and starts to poll them.
      *
-     * @throws InvalidConfigurationException where a file can't be used
+     * @throws InvalidConfigurationException if a file can't be used
      */
     TlsCredentials(ControlSettings.Tls files) throws InvalidConfigurationException {
         this.files = files;
@@ -59,14 +59,16 @@
             throw new InvalidConfigurationException(
                     "'tls': a certificate, key or list of authorities can't be used: " + firstLine(e));
         }
-        // Not by the library's own timer: it turns every period under a minute into a minute. Ends with the poller.
+        // The library's own timer is not used: it raises every period under a minute to one minute. The future is not
+        // needed,
+        // as close() shuts the poller down.
         ScheduledFuture<?> unused =
                 poller.scheduleWithFixedDelay(this::poll, POLL_INTERVAL_MS, POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Loads the files where they have changed. An exception would end the scheduled task, so all are caught; fingerprints
-     * are kept before loading, so that an invalid file is logged once and not every second.
+     * Loads the files if they have changed. An exception would end the scheduled task, so all are caught; fingerprints
+     * are stored before loading, so that an invalid file is logged once and not every second.
      */
     private void poll() {
         try {
--- a/control/src/main/java/stonelb/control/TlsKeyMaterial.java
+++ b/control/src/main/java/stonelb/control/TlsKeyMaterial.java
@@ -10,7 +10,10 @@
 import java.security.Signature;
 import java.security.cert.X509Certificate;
 
-/** What the three TLS files hold: the service's key and certificate chain, and the authorities of its clients. */
+/**
+ * The content of the three TLS files: the service's key and certificate chain, and the authorities that sign its
+ * clients' certificates.
+ */
 final class TlsKeyMaterial {
     private final X509Certificate[] chain;
     private final PrivateKey key;
@@ -25,9 +28,9 @@
     /**
      * Reads all three files.
      *
-     * @throws IOException where a file can't be read
-     * @throws GeneralSecurityException where one is not valid, or the key is not the certificate's: this happens while
-     *     the two files are replaced one after the other
+     * @throws IOException if a file can't be read
+     * @throws GeneralSecurityException if a file is not valid, or the key does not match the certificate: this happens
+     *     while the two files are replaced one after the other
      */
     static TlsKeyMaterial read(ControlSettings.Tls files) throws IOException, GeneralSecurityException {
         X509Certificate[] chain = readCertificates(files.certificate());
@@ -42,7 +45,7 @@
         return new TlsKeyMaterial(chain, key, authorities);
     }
 
-    /** Whether a signature made with the key is verified by the certificate. */
+    /** Whether the certificate verifies a signature made with the key. */
     private static boolean isKeyOf(PrivateKey key, X509Certificate certificate) throws GeneralSecurityException {
         Signature signature = Signature.getInstance(signatureAlgorithm(key));
         byte[] content = certificate.getEncoded();
@@ -66,7 +69,7 @@
         try (InputStream in = Files.newInputStream(file)) {
             X509Certificate[] certificates = CertificateUtils.getX509Certificates(in);
             if (certificates.length == 0) {
-                throw new GeneralSecurityException(file + " holds no certificate");
+                throw new GeneralSecurityException(file + " contains no certificate");
             }
             return certificates;
         }
--- a/control/src/main/java/stonelb/control/package-info.java
+++ b/control/src/main/java/stonelb/control/package-info.java
@@ -1,9 +1,8 @@
 /**
- * The control service: it hands the decisions of the engine to proxies of other installations over xDS (resources), RLQS
- * (quota assignments) and LRS (load reports). Requests do not pass through it.
+ * The control service: sends the engine's decisions to external proxies over xDS (resources) and RLQS (quota
+ * assignments), and receives their load reports over LRS. Requests do not pass through it.
  *
- * <p>{@link stonelb.control.ControlService} owns the listening port and the event loop, {@code ControlPlane} everything
- * that lives on that loop. All state belongs to the event loop and there are no locks; the threads of gRPC only carry
- * bytes.
+ * <p>{@link stonelb.control.ControlService} owns the listening port and the event loop; {@code ControlPlane} owns the
+ * state on that loop. All state is confined to the event loop and there are no locks; gRPC's threads only do I/O.
  */
 package stonelb.control;
--- a/control/src/main/java/stonelb/control/quota/AssignmentListener.java
+++ b/control/src/main/java/stonelb/control/quota/AssignmentListener.java
@@ -1,7 +1,7 @@
 package stonelb.control.quota;
 
-/** Carries assignments to the proxy. */
+/** Receives the quota assignments for a proxy. */
 public interface AssignmentListener {
-    /** Is called with a new assignment, which replaces any earlier one of its bucket. */
+    /** Called with a new assignment, which replaces any earlier one of its bucket. */
     void onAssignment(QuotaAssignment assignment);
 }
--- a/control/src/main/java/stonelb/control/quota/BucketLimits.java
+++ b/control/src/main/java/stonelb/control/quota/BucketLimits.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * What a bucket id may name.
+ * The limits that bucket ids are validated against.
  *
  * @param plans names of plans, in the order of the settings
  * @param gateways the number of proxies and gateways
--- a/control/src/main/java/stonelb/control/quota/CounterMultiplexer.java
+++ b/control/src/main/java/stonelb/control/quota/CounterMultiplexer.java
@@ -9,8 +9,8 @@
 
 /**
  * Shares one client of the quota counter among the decision engines of all proxies. The engines use the same counter
- * names, as those of gateways do. Answers for a name come in the order of its calls, so a queue of callers for each
- * name tells which engine an answer belongs to.
+ * names, as those of gateways do. Responses for a name arrive in the order of its calls, so a queue of callers for each
+ * name is enough to route each response to its engine.
  */
 public final class CounterMultiplexer {
     private final QuotaCounter quotaCounter;
@@ -20,20 +20,20 @@
     /**
      * Creates the multiplexer.
      *
-     * @param quotaCounter takes the calls; its answers go to {@link #counterAnswered}
+     * @param quotaCounter receives the calls; its responses have to be passed to {@link #counterAnswered}
      */
     public CounterMultiplexer(QuotaCounter quotaCounter) {
         this.quotaCounter = quotaCounter;
     }
 
-    void add(DecisionEngine caller, long name, double amount, double keepMs) {
+    void add(DecisionEngine caller, long name, double amount, double expiryMs) {
         callersByName.computeIfAbsent(name, key -> new ArrayDeque<>(2)).add(caller);
         openCalls++;
-        quotaCounter.add(name, amount, keepMs);
+        quotaCounter.add(name, amount, expiryMs);
     }
 
     /**
-     * Passes an answer to the engine that called first of those that wait for this name.
+     * Passes a response to the engine whose call for this name has waited longest.
      *
      * @param latencyMs how long the call took, in milliseconds
      * @param total the total of the name; valid with {@link Outcome#OK} only
@@ -51,7 +51,7 @@
         caller.counterAnswered(now, name, outcome, latencyMs, total);
     }
 
-    /** The number of calls without an answer so far. */
+    /** The number of calls that have no response yet. */
     public int openCalls() {
         return openCalls;
     }
--- a/control/src/main/java/stonelb/control/quota/EndpointLoad.java
+++ b/control/src/main/java/stonelb/control/quota/EndpointLoad.java
@@ -1,8 +1,8 @@
 package stonelb.control.quota;
 
-/** The load of one endpoint as one proxy reports it, and how the decision engine and its weight respond. */
+/** The load of one endpoint as one proxy reports it, with the engine's choices and the resulting weight. */
 final class EndpointLoad {
-    /** Earlier knowledge of the latency weighs as much as this many new measurements. */
+    /** The latency average weighs as much as this many new measurements. */
     private static final double PRIOR_RESPONSES = 8;
 
     private static final double MAX_PENDING_ERRORS = 1000;
@@ -25,13 +25,13 @@
         }
     }
 
-    /** The average latency in milliseconds, or {@code defaultMs} before any is known. */
+    /** The average latency in milliseconds, or {@code defaultMs} before the first measurement. */
     double latencyMs(double defaultMs) {
         return responses > 0 ? latencyMs : defaultMs;
     }
 
-    /** Takes one of the reported errors that the engine has not heard of yet; false if there is none. */
-    boolean takeError() {
+    /** Consumes one reported error that was not passed to the engine yet; false if there is none. */
+    boolean consumeError() {
         if (pendingErrors < 1) {
             return false;
         }
@@ -43,12 +43,12 @@
         choices++;
     }
 
-    /** Keeps this part of the choices counted so far. */
-    void decayChoices(double keep) {
-        choices *= keep;
+    /** Multiplies the number of choices by this factor. */
+    void decayChoices(double factor) {
+        choices *= factor;
     }
 
-    /** How often the engine chose the endpoint, earlier choices decayed. */
+    /** How often the engine chose the endpoint; earlier choices weigh less. */
     double choices() {
         return choices;
     }
@@ -58,7 +58,7 @@
         return lastReportAt;
     }
 
-    /** The weight that the proxy was last given, or 0. */
+    /** The weight last published to the proxy, or 0. */
     int publishedWeight() {
         return publishedWeight;
     }
--- a/control/src/main/java/stonelb/control/quota/EndpointWeights.java
+++ b/control/src/main/java/stonelb/control/quota/EndpointWeights.java
@@ -10,8 +10,8 @@
 import stonelb.decision.SlowStart;
 
 /**
- * The endpoints as one proxy sees them: what its load reports say of each, how often the decision engine chose it, and
- * the load balancing weight that follows from these choices.
+ * Load balancing weights of the endpoints for one proxy, calculated from how often its decision engine chose each. Also
+ * holds what the proxy's load reports say of each endpoint.
  */
 final class EndpointWeights {
     private static final int MAX_WEIGHT = 128;
@@ -19,13 +19,13 @@
     /** A ready endpoint that is chosen as often as the mean has this weight; {@link #MAX_WEIGHT} is twice the mean. */
     private static final double MAX_CAPACITY = 2;
 
-    /** How many of the choices still count after each calculation of weights. */
+    /** The factor applied to the number of choices after each calculation of weights. */
     private static final double CHOICE_DECAY = 0.9;
 
-    /** With fewer choices for each ready endpoint, weights follow slow start alone. */
+    /** With fewer choices for each ready endpoint, weights depend on slow start alone. */
     private static final double MIN_CHOICES_PER_ENDPOINT = 8;
 
-    /** A weight changes only when it is off by more than this part of itself. */
+    /** A weight changes only by more than this fraction of its published value. */
     private static final double WEIGHT_HYSTERESIS = 0.2;
 
     private final SlowStart slowStart;
@@ -36,7 +36,7 @@
         this.slowStart = slowStart;
     }
 
-    /** Takes an endpoint list. What is known of an endpoint is dropped when it is removed or restarted. */
+    /** Applies an endpoint list. The load of an endpoint is discarded when it is removed or restarted. */
     void endpointsChanged(EndpointListType type, List<Endpoint> changed) {
         if (type != EndpointListType.DELTA) {
             endpoints.clear();
@@ -55,7 +55,7 @@
         loads.keySet().retainAll(endpoints.keySet());
     }
 
-    /** Takes a load report on an endpoint; one on an unknown endpoint is ignored. */
+    /** Records a load report on an endpoint; one on an unknown endpoint is ignored. */
     void loadReported(double now, long endpoint, LoadReport report) {
         if (endpoints.containsKey(endpoint)) {
             loadOf(endpoint).loadReported(now, report);
@@ -74,7 +74,8 @@
     /**
      * Counts that the engine chose an endpoint.
      *
-     * @return the latency in milliseconds that the proxy measures there, or {@code assumedMs} where nothing is known
+     * @return the latency in milliseconds that the proxy measures there, or {@code assumedMs} before the first
+     *     measurement
      */
     double endpointChosen(long endpoint, double assumedMs) {
         EndpointLoad load = loadOf(endpoint);
@@ -85,7 +86,7 @@
     /** The outcome of the next simulated attempt at an endpoint: one error for each error that was reported. */
     Outcome nextOutcome(long endpoint) {
         EndpointLoad load = loads.get(endpoint);
-        return load != null && load.takeError() ? Outcome.ERROR : Outcome.OK;
+        return load != null && load.consumeError() ? Outcome.ERROR : Outcome.OK;
     }
 
     private EndpointLoad loadOf(long endpoint) {
@@ -94,7 +95,7 @@
 
     /**
      * Calculates the weights of ready endpoints from the choices of the engine since the last calculations, relative to
-     * their mean. An endpoint in slow start gets at most the capacity that it is sure to have by then.
+     * their mean. An endpoint in slow start gets at most the capacity that its ramp guarantees at this time.
      *
      * @return weights from 1 to 128 by endpoint; a weight stays the same unless it changes by more than a fifth
      */
@@ -134,7 +135,7 @@
         return load.publishedWeight();
     }
 
-    /** The part of its full capacity that an endpoint is sure to have while it warms up; 1 afterwards. */
+    /** The fraction of its full capacity that slow start assumes for an endpoint; 1 once the ramp is over. */
     private double slowStartCapacity(double now, Endpoint endpoint) {
         double ageMs = now - endpoint.startedAtMs();
         if (endpoint.startedAtMs() <= 0 || ageMs >= slowStart.rampMs()) {
--- a/control/src/main/java/stonelb/control/quota/InvalidBucketException.java
+++ b/control/src/main/java/stonelb/control/quota/InvalidBucketException.java
@@ -1,6 +1,6 @@
 package stonelb.control.quota;
 
-/** A bucket id that is not valid. The message says why in one sentence. */
+/** Thrown for an invalid bucket id. The message says why in one sentence. */
 public final class InvalidBucketException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/control/src/main/java/stonelb/control/quota/LeaseLimits.java
+++ b/control/src/main/java/stonelb/control/quota/LeaseLimits.java
@@ -3,14 +3,14 @@
 import java.util.List;
 import stonelb.decision.Plan;
 
-/** How many requests one lease may hold and one report may claim, by the plan and the cost of the bucket. */
+/** Limits on the credit of a lease and on the requests of a usage report, by the bucket's plan and cost. */
 final class LeaseLimits {
     private static final int MIN_REQUESTS_PER_REPORT = 4;
 
-    /** Assumed for a plan without a rate and with a lower limit of requests in flight. */
+    /** Minimum burst assumed for a plan without a rate, whatever its limit of requests in flight. */
     private static final int MIN_UNLIMITED_BURST = 64;
 
-    /** Requests a second that a lease of a plan without a rate may hold ahead of use. */
+    /** Requests per second that a lease of a plan without a rate may hold ahead of use. */
     private static final double UNLIMITED_REQUESTS_PER_SECOND = 50;
 
     private static final double MS_PER_SECOND = 1000;
@@ -37,8 +37,8 @@
     }
 
     /**
-     * The most requests that a lease may hold ahead of use: what the rate of the plan yields within the horizon. A
-     * higher limit would let the leases of a customer far over its quota, one at each proxy, add up to its burst.
+     * The most requests that a lease may hold ahead of use: what the rate of the plan allows within the horizon. A
+     * higher limit would let the leases that a customer far over its quota has at several proxies add up to its burst.
      */
     long maxRequestsAhead(BucketKey key) {
         Plan plan = plans.get(key.plan());
--- a/control/src/main/java/stonelb/control/quota/LeaseTerms.java
+++ b/control/src/main/java/stonelb/control/quota/LeaseTerms.java
@@ -1,10 +1,10 @@
 package stonelb.control.quota;
 
 /**
- * How leases are granted. Times are in milliseconds.
+ * Settings of the leases, with times in milliseconds.
  *
  * @param horizonMs how far ahead of use a lease covers the demand
  * @param timeToLiveMs how long an assignment is valid
- * @param idleMs after how long without a report a bucket without demand is dropped
+ * @param idleMs the time without a report after which a bucket without demand is dropped
  */
 public record LeaseTerms(double horizonMs, double timeToLiveMs, double idleMs) {}
--- a/control/src/main/java/stonelb/control/quota/LoadReport.java
+++ b/control/src/main/java/stonelb/control/quota/LoadReport.java
@@ -1,7 +1,7 @@
 package stonelb.control.quota;
 
 /**
- * What a proxy reports of one endpoint for the time since its last report ({@code UpstreamLocalityStats} of
+ * The load of one endpoint that a proxy reports for the time since its last report ({@code UpstreamLocalityStats} of
  * load_stats.v3).
  *
  * @param successes requests that were answered
--- a/control/src/main/java/stonelb/control/quota/PendingAssignments.java
+++ b/control/src/main/java/stonelb/control/quota/PendingAssignments.java
@@ -5,8 +5,8 @@
 import stonelb.core.TimerQueue;
 
 /**
- * Collects the leases of one proxy that changed, and sends one assignment for each that needs it, once for all changes
- * of an event.
+ * Collects the changed leases of one proxy and sends at most one assignment for each, so that several changes by one
+ * event are combined.
  */
 final class PendingAssignments {
     private final TimerQueue timers;
@@ -26,7 +26,7 @@
         changedLeases.add(lease);
     }
 
-    /** Flushes with the next run of timers: one answer of the counter may decide on many requests, one by one. */
+    /** Flushes with the next run of timers: one response of the counter may decide on many requests, one by one. */
     void flushLater() {
         if (!flushScheduled) {
             flushScheduled = true;
@@ -41,7 +41,7 @@
         }
     }
 
-    /** Sends the assignments that changed leases need. */
+    /** Sends an assignment for each changed lease that needs one. */
     void flush(double now) {
         for (QuotaLease lease : changedLeases) {
             if (!closed && lease.needsAssignment(now, timeToLiveMs)) {
@@ -52,14 +52,14 @@
         changedLeases.clear();
     }
 
-    /** Lets the proxy drop a bucket. */
+    /** Tells the proxy to drop a bucket. */
     void abandon(BucketKey key) {
         if (!closed) {
             listener.onAssignment(new QuotaAssignment(key, 0, 0, true));
         }
     }
 
-    /** From now on nothing is sent. */
+    /** Stops sending assignments. */
     void close() {
         closed = true;
     }
--- a/control/src/main/java/stonelb/control/quota/ProxyQuota.java
+++ b/control/src/main/java/stonelb/control/quota/ProxyQuota.java
@@ -10,18 +10,18 @@
 import stonelb.decision.EndpointListType;
 
 /**
- * The quota leases and endpoint weights of one proxy, decided by a decision engine of its own as though the proxy were
- * a gateway.
+ * The quota leases and endpoint weights of one proxy. Each proxy has its own decision engine, which treats it like a
+ * gateway.
  *
  * <p>The demand that the proxy reports is submitted to the engine as simulated requests, slightly ahead of time. Each
- * that the engine forwards becomes a request of credit in the proxy's lease, and the endpoint that it chose counts
- * towards that endpoint's weight. Load reports come back to the engine as the results of these attempts. Nothing here
- * admits requests, divides quota or chooses endpoints.
+ * that the engine forwards adds one request of credit to the proxy's lease, and the choice of endpoint counts towards
+ * that endpoint's weight. Load reports are returned to the engine as the results of these attempts. Admission, division
+ * of quota and choice of endpoints are left to the engine.
  *
- * <p>It does no I/O and is called by one thread. Times are milliseconds of the clock of {@link TimerQueue}.
+ * <p>Does no I/O and is used by one thread. Times are milliseconds of the clock of {@link TimerQueue}.
  */
 public final class ProxyQuota {
-    /** Longest time before the first report of a bucket for which that report is accepted. */
+    /** Longest time that the first report of a bucket may cover. */
     private static final double MAX_FIRST_REPORT_SPAN_MS = 60_000;
 
     private final String name;
@@ -45,8 +45,8 @@
      * @param seed of the engine's random numbers
      * @param counter the quota counter, shared with the other proxies
      * @param throttledCustomers shared with the other proxies
-     * @param assignmentListener is called with each assignment for the proxy
-     * @param implausibleReports is called with a sentence on each report that can't be true
+     * @param assignmentListener called with each assignment for the proxy
+     * @param implausibleReports called with a description of each implausible report
      */
     public ProxyQuota(
             String name,
@@ -76,21 +76,21 @@
         return name;
     }
 
-    /** Takes an endpoint list, in the form in which gateways receive it. */
+    /** Applies an endpoint list, in the form in which gateways receive it. */
     public void endpointsChanged(EndpointListType type, List<Endpoint> endpoints) {
         endpointWeights.endpointsChanged(type, endpoints);
         simulator.endpointsChanged(type, endpoints);
     }
 
-    /** Sets whether assignments can reach the proxy at present. While they can't, nothing more is granted. */
+    /** Sets whether assignments can reach the proxy. While they can't, no credit is granted. */
     public void setReachable(boolean reachable) {
         this.reachable = reachable;
     }
 
     /**
-     * Takes a usage report of the proxy on one bucket.
+     * Handles a usage report of the proxy on one bucket.
      *
-     * @param allowed requests that it let through since its last report on this bucket
+     * @param allowed requests that it allowed since its last report on this bucket
      * @param denied requests that it denied since its last report on this bucket
      * @param elapsedMs the time that the report covers, in milliseconds
      * @return why the report is implausible, or null; an implausible report is limited to the credit of the lease
@@ -112,7 +112,7 @@
         return implausibility;
     }
 
-    /** How long before its first report a bucket may have been in use, in milliseconds. */
+    /** How long a bucket may have been in use before its first report, in milliseconds. */
     private static double firstReportSpanMs(double elapsedMs) {
         return elapsedMs > 0 ? Math.min(elapsedMs, MAX_FIRST_REPORT_SPAN_MS) : 0;
     }
@@ -127,7 +127,7 @@
     }
 
     /**
-     * Takes a load report (load_stats.v3) on one endpoint, for the time since the last one.
+     * Handles a load report (load_stats.v3) on one endpoint, for the time since the last one.
      *
      * @param successes requests that were answered
      * @param errors requests that failed
@@ -141,12 +141,12 @@
         endpointWeights.loadReported(timers.now(), endpoint, report);
     }
 
-    /** Counts requests of a class that the proxy has issued. Simulated requests have the same mix of classes. */
+    /** Counts requests of a class that the proxy has sent. Simulated requests have the same mix of classes. */
     public void classObserved(int requestClass, long issued) {
         simulator.classObserved(requestClass, issued);
     }
 
-    /** Ends leases whose time to live is over, and drops buckets without demand. To be called at regular intervals. */
+    /** Expires leases whose time to live is over and drops buckets without demand. Has to be called periodically. */
     public void removeIdle() {
         double now = timers.now();
         leases.values().removeIf(lease -> expireAndDrop(now, lease));
@@ -161,7 +161,7 @@
         return drop;
     }
 
-    /** Ends all leases, once the proxy is considered gone for good. */
+    /** Expires all leases; called once the proxy is not expected to reconnect. */
     public void close() {
         simulator.close();
         assignments.close();
@@ -178,7 +178,7 @@
         return simulator.tierOf(requestClass, plan);
     }
 
-    /** The units that live leases still allow one customer. */
+    /** The units of one customer that unexpired leases still allow. */
     public double leasedUnits(long customer) {
         double now = timers.now();
         return leases.values().stream()
@@ -187,7 +187,7 @@
                 .sum();
     }
 
-    /** The state of each bucket, in the order in which they were first reported. */
+    /** The state of each bucket, in the order of their first reports. */
     public List<BucketStatus> bucketStatuses() {
         double now = timers.now();
         return leases.values().stream()
@@ -213,10 +213,10 @@
 
     /**
      * Calculates the weights of the endpoints that are ready, from the engine's choices since the last call relative to
-     * their mean. An endpoint in slow start that was not chosen often enough gets the capacity that it is sure to have.
+     * their mean. An endpoint in slow start gets at most the capacity that its ramp guarantees.
      *
-     * @return weights from 1 to 128 by endpoint; a weight stays the same unless it changes by more than a fifth, so that
-     *     versions of resources change only with their content
+     * @return weights from 1 to 128 by endpoint; a weight stays the same unless it changes by more than a fifth, so
+     *     that versions of resources change only with their content
      */
     public Map<Long, Integer> weights() {
         return endpointWeights.update(timers.now());
--- a/control/src/main/java/stonelb/control/quota/QuotaAssignment.java
+++ b/control/src/main/java/stonelb/control/quota/QuotaAssignment.java
@@ -1,11 +1,11 @@
 package stonelb.control.quota;
 
 /**
- * What a proxy may send of a bucket from now on.
+ * The quota that a proxy is assigned for a bucket.
  *
  * @param key the bucket
- * @param credit requests that it may let through, all at once if it likes; 0 denies all
- * @param timeToLiveMs how long this is valid, in milliseconds; after it the fallback of the bucket's settings applies
- * @param abandoned the bucket is dropped: the proxy may forget it and need not report on it any more
+ * @param credit requests that it may allow, possibly all at once; 0 denies all
+ * @param timeToLiveMs how long this is valid, in milliseconds; afterwards the fallback of the bucket's settings applies
+ * @param abandoned whether the bucket is dropped, so that the proxy discards it and stops reporting on it
  */
 public record QuotaAssignment(BucketKey key, long credit, double timeToLiveMs, boolean abandoned) {}
--- a/control/src/main/java/stonelb/control/quota/QuotaLease.java
+++ b/control/src/main/java/stonelb/control/quota/QuotaLease.java
@@ -1,21 +1,21 @@
 package stonelb.control.quota;
 
 /**
- * The lease of one bucket at one proxy: how many requests the decision engine granted for it, how many the proxy
- * reported as used, and until when the rest may still be used. It does no I/O and calls no other component.
+ * The lease of one bucket at one proxy: how many requests the decision engine granted, how many the proxy reported as
+ * used, and when the remaining credit expires. It does no I/O and calls no other component.
  *
  * <p>All amounts are requests of the bucket's cost, counted from the bucket's first report. The total granted never
- * exceeds what the engine forwarded. The total used may exceed it, by what a proxy sent under its fallback rate or
- * between a report and the assignment that answered it. The engine has to grant such an excess as well before the
- * credit rises above zero.
+ * exceeds what the engine forwarded. The total used may exceed the total granted, by what a proxy sent under its
+ * fallback rate or between a report and the resulting assignment. The engine has to grant this excess as well before
+ * the credit rises above zero.
  *
  * <p>Times are milliseconds of the clock of {@link stonelb.core.TimerQueue}.
  */
 final class QuotaLease {
-    /** Time constant with which the demand estimate falls. */
+    /** Time constant of the exponential decay of the demand estimate. */
     private static final double DEMAND_SMOOTHING_MS = 700;
 
-    /** A bucket without demand for so long is granted nothing. */
+    /** After this long without demand a bucket is granted no credit. */
     private static final double DEMAND_IDLE_MS = 10_000;
 
     /** Shortest time over which a burst of demand is averaged. */
@@ -56,10 +56,10 @@
     }
 
     /**
-     * Takes a usage report ({@code BucketQuotaUsage} of rate_limit_quota.v3). Counts are unsigned on the wire, so a
+     * Records a usage report ({@code BucketQuotaUsage} of rate_limit_quota.v3). Counts are unsigned on the wire, so a
      * very large one arrives here as a negative number.
      *
-     * @param allowed requests that the proxy let through since its last report
+     * @param allowed requests that the proxy allowed since its last report
      * @param denied requests that the proxy denied since its last report
      * @param elapsedMs the time that the report covers
      * @param maxRequests the most requests beyond the credit that one report may claim
@@ -90,20 +90,20 @@
     private void updateDemand(double now, double elapsedMs, double requests) {
         double spanMs = Math.max(1, Math.max(elapsedMs, now - lastReportAt));
         lastReportAt = now;
-        double keep = Math.exp(-spanMs / DEMAND_SMOOTHING_MS);
+        double decay = Math.exp(-spanMs / DEMAND_SMOOTHING_MS);
         double burst = requests / Math.max(spanMs, MIN_DEMAND_SPAN_MS);
-        demandPerMs = Math.max(burst, demandPerMs * keep + (1 - keep) * requests / spanMs);
+        demandPerMs = Math.max(burst, demandPerMs * decay + (1 - decay) * requests / spanMs);
         if (requests > 0) {
             lastDemandAt = now;
         }
     }
 
     /**
-     * How many more requests the engine should decide on, to cover the demand of the next {@code horizonMs}.
+     * The number of requests to simulate so that the credit covers the demand of the next {@code horizonMs}.
      *
      * @param maxAhead the most credit that the lease may hold ahead of use
      * @param throttled whether the customer was rejected recently: then only requests that the proxy has just denied
-     *     are decided on, and none ahead of demand
+     *     are simulated, and none ahead of demand
      */
     long requestsToSimulate(double now, double horizonMs, long maxAhead, boolean throttled) {
         if (now - lastDemandAt > DEMAND_IDLE_MS || (throttled && !deniedSinceGrant)) {
@@ -114,18 +114,18 @@
         return Math.max(0, (long) target - credit() - pendingRequests);
     }
 
-    /** Rounded to whole requests: with less than half a request expected, no credit is held at this proxy. */
+    /** The expected demand, rounded: with less than half a request expected, the proxy holds no credit. */
     private double expectedDemand(double now, double horizonMs) {
         double currentDemandPerMs = demandPerMs * Math.exp(-(now - lastReportAt) / DEMAND_SMOOTHING_MS);
         return Math.floor(currentDemandPerMs * horizonMs + 0.5);
     }
 
-    /** A simulated request is submitted to the engine; {@link #grant} or {@link #reject} follows. */
+    /** Records that a simulated request is submitted; {@link #grant} or {@link #reject} follows. */
     void submit() {
         pendingRequests++;
     }
 
-    /** The engine forwarded a simulated request. */
+    /** Records that the engine forwarded a simulated request, and adds it to the credit. */
     void grant() {
         pendingRequests--;
         granted++;
@@ -133,13 +133,13 @@
         changed = true;
     }
 
-    /** The engine rejected a simulated request. */
+    /** Records that the engine rejected a simulated request. */
     void reject() {
         pendingRequests--;
         changed = true;
     }
 
-    /** Requests that the proxy may still send; below 0 by what it sent in excess. */
+    /** Requests that the proxy may still send; negative by the number sent in excess. */
     private long credit() {
         return granted - used;
     }
@@ -149,14 +149,14 @@
         return now < expiresAt ? Math.max(0, credit()) : 0;
     }
 
-    /** Ends the lease if its time to live is over. */
+    /** Expires the lease if its time to live is over. */
     void expireIfOver(double now) {
         if (now >= expiresAt && assignedCredit != NEVER_ASSIGNED) {
             expire();
         }
     }
 
-    /** Ends the lease. Credit whose use was not reported counts as used, since it may have been. */
+    /** Expires the lease. Credit whose use was not reported counts as used, since the proxy may have used it. */
     void expire() {
         used = Math.max(used, granted);
         changed = false;
--- a/control/src/main/java/stonelb/control/quota/RequestClassMix.java
+++ b/control/src/main/java/stonelb/control/quota/RequestClassMix.java
@@ -1,11 +1,11 @@
 package stonelb.control.quota;
 
-/** Assigns classes to simulated requests, in the proportion in which the proxy reports to have issued them. */
+/** Assigns classes to simulated requests in the proportions that the proxy reports. */
 final class RequestClassMix {
-    /** How much of the earlier counts remains with each new one. */
+    /** The factor applied to the earlier counts with each new one. */
     private static final double DECAY = 0.7;
 
-    /** Multiples of it are evenly spread over the unit interval, so that classes alternate for any proportion. */
+    /** Its multiples modulo 1 are evenly spread over the unit interval, so that classes alternate in any proportion. */
     private static final double GOLDEN_RATIO_CONJUGATE = 0.6180339887498949;
 
     private final double[] counts;
@@ -14,12 +14,12 @@
         counts = new double[classes];
     }
 
-    /** Counts requests of a class that the proxy has issued. */
+    /** Counts requests of a class that the proxy has sent. */
     void observe(int requestClass, long issued) {
         counts[requestClass] = counts[requestClass] * DECAY + issued;
     }
 
-    /** The class of the simulated request with this number, without chance; classes take turns before any count. */
+    /** The class of the simulated request with this number, deterministic; round robin before the first count. */
     int classOf(long requestNumber) {
         double total = 0;
         for (double count : counts) {
--- a/control/src/main/java/stonelb/control/quota/RequestSimulator.java
+++ b/control/src/main/java/stonelb/control/quota/RequestSimulator.java
@@ -14,14 +14,15 @@
 import stonelb.decision.EndpointListType;
 
 /**
- * Runs the decision engine of one proxy, as though that proxy were a gateway: submits simulated requests to it, grants
- * the lease of each that it forwards one request of credit, and ends the attempt with the latency and the errors that
- * the proxy reports of the chosen endpoint. Admission, division of quota and choice of endpoint are the engine's alone.
+ * Runs the decision engine of one proxy, which treats the proxy like a gateway. Submits simulated requests to it, adds
+ * one request of credit to the lease of each that it forwards, and ends the attempt with the latency and the errors
+ * that the proxy reports of the chosen endpoint. Admission, division of quota and choice of endpoints are left to the
+ * engine.
  */
 final class RequestSimulator implements DecisionActions {
     /**
-     * Latency that is assumed before the first load report, as a part of the class's latency objective. It is short:
-     * long attempts would occupy the few slots that the engine starts with.
+     * Latency that is assumed before the first load report, as a fraction of the class's latency objective. It is short
+     * because long attempts would occupy the few slots that the engine starts with.
      */
     private static final double ASSUMED_LATENCY = 0.02;
 
@@ -83,7 +84,7 @@
         return engine.tierOf(requestClass, plan);
     }
 
-    /** Submits up to {@code count} requests of a lease's bucket. The first rejection ends it: more would follow. */
+    /** Submits up to {@code count} requests of a lease's bucket. Stops at the first rejection, as more would follow. */
     void simulate(double now, QuotaLease lease, long count) {
         rejected = false;
         for (long i = 0; i < count && !rejected && !closed; i++) {
@@ -104,13 +105,13 @@
                         id, requestClass, key.plan(), key.customer(), deadline, key.cost(), key.spread(), false));
     }
 
-    /** From now on no request is submitted, and attempts in flight are not ended. */
+    /** Stops submitting requests; the results of attempts in flight are not passed to the engine. */
     void close() {
         closed = true;
     }
 
     @Override
-    public void forward(long id, long endpoint, double patienceMs) {
+    public void forward(long id, long endpoint, double timeoutMs) {
         SimulatedRequest request = requests.get(id);
         if (request == null || request.isForwarded()) {
             return; // a retry or a hedged request: its credit was granted with the first attempt
@@ -156,7 +157,7 @@
         reject(id, 0);
     }
 
-    /** Nothing is in flight anywhere that could be cancelled. */
+    /** Does nothing: a simulated attempt occupies no connection that could be cancelled. */
     @Override
     public void cancel(long id, int attempt) {}
 
@@ -172,11 +173,11 @@
     }
 
     @Override
-    public void addToCounter(long name, double amount, double keepMs) {
-        counter.add(engine, name, amount, keepMs);
+    public void addToCounter(long name, double amount, double retentionMs) {
+        counter.add(engine, name, amount, retentionMs);
     }
 
-    /** The control service watches the endpoint list at all times. */
+    /** Does nothing: the control service watches the endpoint list permanently. */
     @Override
     public void watchEndpoints() {}
 }
--- a/control/src/main/java/stonelb/control/quota/SimulatedRequest.java
+++ b/control/src/main/java/stonelb/control/quota/SimulatedRequest.java
@@ -1,6 +1,6 @@
 package stonelb.control.quota;
 
-/** A request that the decision engine decides on in place of one that the proxy is expected to receive. */
+/** A request submitted to the decision engine in place of one that the proxy is expected to receive. */
 final class SimulatedRequest {
     private static final long NOT_FORWARDED = -1;
 
--- a/control/src/main/java/stonelb/control/quota/ThrottledCustomers.java
+++ b/control/src/main/java/stonelb/control/quota/ThrottledCustomers.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 
 /**
- * Customers of whom a request was rejected recently, through any proxy. The decision engine decides on their requests
- * one by one as they arrive, as at a gateway, and not ahead: right after it has added to the counter it knows the total
- * and is stricter, so that requests submitted ahead would be rejected that it forwards when they arrive.
+ * Customers of whom a request was rejected recently, through any proxy. Their requests are submitted to the decision
+ * engine one by one as they arrive, as at a gateway, and not ahead of time: right after adding to the counter the
+ * engine knows the total and is stricter, so that it would reject requests ahead of time that it forwards on arrival.
  */
 public final class ThrottledCustomers {
     private static final double THROTTLED_MS = 5000;
--- a/control/src/main/java/stonelb/control/resources/ClusterFactory.java
+++ b/control/src/main/java/stonelb/control/resources/ClusterFactory.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Makes the clusters: one for each tier, whose circuit breaker holds the slot limit of the tier. */
+/** Creates the clusters: one for each tier, whose circuit breaker enforces the slot limit of the tier. */
 final class ClusterFactory {
-    /** One in so many requests in flight may be a retry. */
+    /** One in this many requests in flight may be a retry. */
     private static final int REQUESTS_PER_RETRY = 4;
 
     private static final int CONSECUTIVE_ERRORS_TO_EJECT = 5;
@@ -28,7 +28,7 @@
     Map<String, Message> clusters(int[] slotLimits) {
         Map<String, Message> clusters = new TreeMap<>();
         for (int tier = 0; tier < slotLimits.length; tier++) {
-            String name = ResourceFactory.CLUSTER + tier;
+            String name = ResourceFactory.CLUSTER_PREFIX + tier;
             clusters.put(name, cluster(name, slotLimits[tier]));
         }
         return clusters;
@@ -40,7 +40,7 @@
                 .setType(Cluster.DiscoveryType.EDS)
                 .setEdsClusterConfig(Cluster.EdsClusterConfig.newBuilder()
                         .setEdsConfig(ConfigSources.aggregated())
-                        .setServiceName(ResourceFactory.SERVERS))
+                        .setServiceName(ResourceFactory.EDS_SERVICE_NAME))
                 .setConnectTimeout(Durations.fromMillis(connectTimeoutMs))
                 .setLbPolicy(Cluster.LbPolicy.ROUND_ROBIN)
                 .setLrsServer(ConfigSources.self())
--- a/control/src/main/java/stonelb/control/resources/ConfigSources.java
+++ b/control/src/main/java/stonelb/control/resources/ConfigSources.java
@@ -5,7 +5,7 @@
 import io.envoyproxy.envoy.config.core.v3.ConfigSource;
 import io.envoyproxy.envoy.config.core.v3.SelfConfigSource;
 
-/** Where a resource says that proxies get others from, or send their reports to. */
+/** The config sources by which resources refer to other resources or to the server for load reports. */
 final class ConfigSources {
     private ConfigSources() {}
 
@@ -17,7 +17,7 @@
                 .build();
     }
 
-    /** The server that the resource itself came from. */
+    /** The server that sent the resource. */
     static ConfigSource self() {
         return ConfigSource.newBuilder()
                 .setSelf(SelfConfigSource.getDefaultInstance())
--- a/control/src/main/java/stonelb/control/resources/EndpointFactory.java
+++ b/control/src/main/java/stonelb/control/resources/EndpointFactory.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Makes the endpoint assignment that the clusters of all tiers share, with one locality for each zone. */
+/** Creates the endpoint assignment that the clusters of all tiers share, with one locality for each zone. */
 final class EndpointFactory {
     private static final int MIN_WEIGHT = 1;
 
@@ -34,7 +34,7 @@
             zoneWeights.merge(endpoint.zone(), weight, Integer::sum);
         }
         ClusterLoadAssignment.Builder assignment =
-                ClusterLoadAssignment.newBuilder().setClusterName(ResourceFactory.SERVERS);
+                ClusterLoadAssignment.newBuilder().setClusterName(ResourceFactory.EDS_SERVICE_NAME);
         localities.forEach((zone, locality) -> assignment.addEndpoints(
                 locality.setLoadBalancingWeight(UInt32Value.of(atLeastMinimum(zoneWeights.get(zone))))));
         return assignment.build();
--- a/control/src/main/java/stonelb/control/resources/ListenerFactory.java
+++ b/control/src/main/java/stonelb/control/resources/ListenerFactory.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Makes the listeners: one for proxies, with the quota filter, and one for proxyless gRPC clients where one is named. */
+/** Creates the listener for proxies, with the quota filter, and the one for proxyless gRPC clients if configured. */
 final class ListenerFactory {
     private static final String ROUTER_FILTER = "envoy.filters.http.router";
     private static final String STAT_PREFIX = "stonelb";
--- a/control/src/main/java/stonelb/control/resources/PathPattern.java
+++ b/control/src/main/java/stonelb/control/resources/PathPattern.java
@@ -16,7 +16,9 @@
         return path.contains("{");
     }
 
-    /** A key by which concrete segments sort before templates, from the left (OpenAPI 3.1, Path Templating Matching). */
+    /**
+     * A sort key that puts concrete segments before templates, from the left (OpenAPI 3.1, Path Templating Matching).
+     */
     static String precedenceKey(String path) {
         StringBuilder key = new StringBuilder();
         for (String segment : path.split("/", -1)) {
@@ -26,7 +28,7 @@
         return key.toString();
     }
 
-    /** The regular expression of a template, in which each variable stands for a part of one segment. */
+    /** The regular expression of a template, in which each variable matches one or more characters of a segment. */
     static String regex(String path) {
         StringBuilder regex = new StringBuilder();
         int end = 0;
@@ -38,7 +40,7 @@
         return regex.append(escape(path.substring(end))).toString();
     }
 
-    /** Escapes each special character by itself: proxies may not know the quotes {@code \Q} and {@code \E}. */
+    /** Escapes each special character by itself: proxies may not support quoting by {@code \Q} and {@code \E}. */
     static String escape(String literal) {
         return literal.replaceAll("[^A-Za-z0-9/_-]", "\\\\$0");
     }
--- a/control/src/main/java/stonelb/control/resources/QuotaFilterFactory.java
+++ b/control/src/main/java/stonelb/control/resources/QuotaFilterFactory.java
@@ -26,8 +26,8 @@
 import stonelb.decision.Plan;
 
 /**
- * Makes the configuration of the quota filter (rate_limit_quota.v3): a bucket for each customer, and for each plan what a
- * proxy may send without an assignment.
+ * Creates the configuration of the quota filter (rate_limit_quota.v3): a bucket for each customer, and for each plan
+ * the fallback rate of a proxy without an assignment.
  */
 final class QuotaFilterFactory {
     private static final String CONTROL_CLUSTER = "stonelb-control";
@@ -37,28 +37,28 @@
     private static final double MS_PER_SECOND = 1000;
     private static final double MAX_FILL_INTERVAL_MS = 3_600_000;
 
-    /** The part of a plan's rate that all proxies together may send without assignments. */
+    /** A plan's rate divided by this is what all proxies together may send without assignments. */
     private static final double FALLBACK_DIVISOR = 2;
 
-    /** Requests a second without an assignment, for a plan without a rate. */
+    /** Requests per second without an assignment, for a plan without a rate. */
     private static final double UNLIMITED_FALLBACK_PER_SECOND = 1;
 
     private final DecisionSettings settings;
     private final List<String> plans;
-    private final QuotaTerms terms;
+    private final ResourceOptions options;
 
     /**
      * Creates the factory.
      *
      * @param plans names of plans, in the order of the settings
      */
-    QuotaFilterFactory(DecisionSettings settings, List<String> plans, QuotaTerms terms) {
+    QuotaFilterFactory(DecisionSettings settings, List<String> plans, ResourceOptions options) {
         this.settings = settings;
         this.plans = plans;
-        this.terms = terms;
+        this.options = options;
     }
 
-    /** The filter for one node. Its name goes along as metadata: the protocol has no field for who reports. */
+    /** The filter for one node. The node name is sent as metadata, as the protocol has no field for the reporter. */
     RateLimitQuotaFilterConfig filter(String node) {
         return RateLimitQuotaFilterConfig.newBuilder()
                 .setDomain(ResourceFactory.DOMAIN)
@@ -114,13 +114,13 @@
         RateLimitStrategy fallback = fallbackStrategy(settings.plans().get(plan), cost);
         return RateLimitQuotaBucketSettings.newBuilder()
                 .setBucketIdBuilder(bucketId(plan, cost))
-                .setReportingInterval(Durations.fromMillis(Math.max(MIN_REPORT_INTERVAL_MS, (long) terms.reportMs())))
+                .setReportingInterval(Durations.fromMillis(Math.max(MIN_REPORT_INTERVAL_MS, (long) options.reportMs())))
                 .setDenyResponseSettings(DenyResponseSettings.newBuilder()
                         .setHttpStatus(HttpStatus.newBuilder().setCode(StatusCode.TooManyRequests)))
                 .setNoAssignmentBehavior(NoAssignmentBehavior.newBuilder().setFallbackRateLimit(fallback))
                 .setExpiredAssignmentBehavior(ExpiredAssignmentBehavior.newBuilder()
                         .setFallbackRateLimit(fallback)
-                        .setExpiredAssignmentBehaviorTimeout(Durations.fromMillis((long) terms.fallbackMs())))
+                        .setExpiredAssignmentBehaviorTimeout(Durations.fromMillis((long) options.fallbackMs())))
                 .build();
     }
 
@@ -128,11 +128,11 @@
         BucketIdBuilder.Builder id = BucketIdBuilder.newBuilder()
                 .putBucketIdBuilder(BucketKey.CUSTOMER, headerValue(ResourceFactory.CUSTOMER_HEADER))
                 .putBucketIdBuilder(BucketKey.PLAN, constantValue(plans.get(plan)))
-                .putBucketIdBuilder(BucketKey.WIDTH, headerValue(ResourceFactory.SPREAD_HEADER));
+                .putBucketIdBuilder(BucketKey.SPREAD, headerValue(ResourceFactory.SPREAD_HEADER));
         if (cost != DEFAULT_COST) {
-            boolean whole = cost == Math.rint(cost);
+            boolean isInteger = cost == Math.rint(cost);
             id.putBucketIdBuilder(
-                    BucketKey.COST, constantValue(whole ? Long.toString((long) cost) : Double.toString(cost)));
+                    BucketKey.COST, constantValue(isInteger ? Long.toString((long) cost) : Double.toString(cost)));
         }
         return id.build();
     }
@@ -150,9 +150,9 @@
     }
 
     /**
-     * What a proxy may send of a customer without an assignment: one request at once, and half of the plan's rate
-     * divided by the number of gateways. All proxies together stay under half of the rate this way; with what gateways
-     * may send at the same time, the total stays under 1.5 times the rate.
+     * The rate at which a proxy may send requests of a customer without an assignment: a burst of one request, and half
+     * of the plan's rate divided by the number of gateways. All proxies together thus stay under half of the rate; with
+     * what gateways may send at the same time, the total stays under 1.5 times the rate.
      */
     RateLimitStrategy fallbackStrategy(Plan plan, double cost) {
         double requestsPerSecond = plan.rate() > 0
--- a/control/src/main/java/stonelb/control/resources/ResourceFactory.java
+++ b/control/src/main/java/stonelb/control/resources/ResourceFactory.java
@@ -10,8 +10,8 @@
 import stonelb.description.Routes;
 
 /**
- * Makes the xDS resources (v3) for proxies. It decides nothing and does no I/O; equal input gives equal bytes, so that a
- * version changes only with its content.
+ * Creates the xDS resources (v3) for proxies. It does no I/O and is deterministic: equal input gives equal bytes, so
+ * that a version changes only with its content.
  */
 public final class ResourceFactory {
     /** The listener for proxies. */
@@ -23,19 +23,19 @@
     /** The route configuration for proxyless gRPC clients. */
     public static final String GRPC_ROUTES = "stonelb-grpc-routes";
 
-    /** The gRPC metadata with which a proxy names its node on a quota stream. */
+    /** The gRPC metadata key for the proxy's node name on a quota stream. */
     public static final String NODE_HEADER = "x-stonelb-node";
 
-    /** The endpoint assignment that the clusters of all tiers share. */
-    public static final String SERVERS = "plan-servers";
+    /** The EDS service name of the endpoint assignment that the clusters of all tiers share. */
+    public static final String EDS_SERVICE_NAME = "plan-servers";
 
     /** Prefix of cluster names; the number of the tier follows. */
-    public static final String CLUSTER = "plan-servers-t";
+    public static final String CLUSTER_PREFIX = "plan-servers-t";
 
     /** The name of the quota filter. */
     public static final String QUOTA_FILTER = "envoy.filters.http.rate_limit_quota";
 
-    /** The domain that quota reports have to name. */
+    /** The domain of quota reports. */
     public static final String DOMAIN = "stonelb";
 
     /** The request header with the customer, a hexadecimal number. */
@@ -47,7 +47,7 @@
     /** The request header with the number of proxies and gateways that the customer uses. */
     public static final String SPREAD_HEADER = "x-spread";
 
-    /** The response header of an endpoint that has not processed the request. */
+    /** The response header by which an endpoint states that it has not processed the request. */
     public static final String UNPROCESSED_HEADER = "x-unprocessed";
 
     private final QuotaFilterFactory quotaFilterFactory;
@@ -69,20 +69,22 @@
             List<Double> deadlinesMs,
             List<String> plans,
             int connectTimeoutMs,
-            QuotaTerms terms) {
-        quotaFilterFactory = new QuotaFilterFactory(settings, plans, terms);
-        listenerFactory = new ListenerFactory(quotaFilterFactory, terms.grpcListener());
+            ResourceOptions options) {
+        quotaFilterFactory = new QuotaFilterFactory(settings, plans, options);
+        listenerFactory = new ListenerFactory(quotaFilterFactory, options.grpcListener());
         routeFactory = new RouteFactory(
-                settings, classes, deadlinesMs, plans, quotaFilterFactory, terms.grpcListener() != null);
+                settings, classes, deadlinesMs, plans, quotaFilterFactory, options.grpcListener() != null);
         clusterFactory = new ClusterFactory(connectTimeoutMs);
     }
 
-    /** The listeners by name, for one node: the one for proxies, and the one for proxyless gRPC clients if named. */
+    /**
+     * The listeners by name, for one node: the one for proxies, and the one for proxyless gRPC clients if configured.
+     */
     public Map<String, Message> listeners(String node) {
         return listenerFactory.listeners(node);
     }
 
-    /** What a proxy may send of a customer of this plan without an assignment, in requests of this cost. */
+    /** The rate without an assignment for a customer of this plan, in requests of this cost. */
     public RateLimitStrategy fallbackStrategy(Plan plan, double cost) {
         return quotaFilterFactory.fallbackStrategy(plan, cost);
     }
@@ -90,11 +92,11 @@
     /**
      * The route configurations by name.
      *
-     * @param described the operations of the API description
+     * @param apiRoutes the operations of the API description
      * @param tierOf the tier of a request class and a plan
      */
-    public Map<String, Message> routes(Routes described, IntBinaryOperator tierOf) {
-        return routeFactory.routes(described, tierOf);
+    public Map<String, Message> routes(Routes apiRoutes, IntBinaryOperator tierOf) {
+        return routeFactory.routes(apiRoutes, tierOf);
     }
 
     /**
@@ -108,6 +110,6 @@
 
     /** The endpoint assignment by name: ready endpoints with their weights, draining ones marked, by zone. */
     public Map<String, Message> endpoints(List<EndpointResource> endpoints) {
-        return Map.of(SERVERS, EndpointFactory.assignment(endpoints));
+        return Map.of(EDS_SERVICE_NAME, EndpointFactory.assignment(endpoints));
     }
 }
--- a/control/src/main/java/stonelb/control/resources/RouteFactory.java
+++ b/control/src/main/java/stonelb/control/resources/RouteFactory.java
@@ -29,7 +29,9 @@
 import stonelb.decision.RequestClass;
 import stonelb.description.Routes;
 
-/** Makes the route configurations: for each operation of the API description, one route for each tier of its plans. */
+/**
+ * Creates the route configurations: for each operation of the API description, one route for each tier of its plans.
+ */
 final class RouteFactory {
     private static final String VIRTUAL_HOST = "stonelb";
     private static final String GRPC_VIRTUAL_HOST = "grpc";
@@ -75,9 +77,9 @@
         this.grpcRoutes = grpcRoutes;
     }
 
-    Map<String, Message> routes(Routes described, IntBinaryOperator tierOf) {
+    Map<String, Message> routes(Routes apiRoutes, IntBinaryOperator tierOf) {
         Map<String, Message> configurations = new TreeMap<>();
-        configurations.put(ResourceFactory.ROUTES, configuration(ResourceFactory.ROUTES, proxyHost(described, tierOf)));
+        configurations.put(ResourceFactory.ROUTES, configuration(ResourceFactory.ROUTES, proxyHost(apiRoutes, tierOf)));
         if (grpcRoutes) {
             configurations.put(
                     ResourceFactory.GRPC_ROUTES, configuration(ResourceFactory.GRPC_ROUTES, grpcHost(tierOf)));
@@ -92,30 +94,30 @@
                 .build();
     }
 
-    private VirtualHost proxyHost(Routes described, IntBinaryOperator tierOf) {
+    private VirtualHost proxyHost(Routes apiRoutes, IntBinaryOperator tierOf) {
         VirtualHost.Builder host =
                 VirtualHost.newBuilder().setName(VIRTUAL_HOST).addDomains(ANY_DOMAIN);
-        List<Routes.Entry> entries = new ArrayList<>(described.entries());
+        List<Routes.Entry> entries = new ArrayList<>(apiRoutes.entries());
         entries.sort(Comparator.comparing((Routes.Entry entry) -> PathPattern.precedenceKey(entry.path()))
                 .thenComparing(Routes.Entry::method));
         for (Routes.Entry entry : entries) {
             plansByTier(entry.route().requestClass(), tierOf)
                     .forEach((tier, tierPlans) -> host.addRoutes(route(entry, tier, tierPlans)));
         }
-        host.addRoutes(directResponse(NO_PLAN, withoutKnownPlan(), BAD_REQUEST));
+        host.addRoutes(directResponse(NO_PLAN, unknownPlanMatch(), BAD_REQUEST));
         host.addRoutes(directResponse(UNKNOWN_OPERATION, pathPrefix("/"), NOT_FOUND));
         return host.build();
     }
 
-    /** Proxyless gRPC clients match no pseudo-headers. They send one kind of call, which is of the first class. */
+    /** Proxyless gRPC clients can't match pseudo-headers, so all their calls are of the first request class. */
     private static VirtualHost grpcHost(IntBinaryOperator tierOf) {
         return VirtualHost.newBuilder()
                 .setName(GRPC_VIRTUAL_HOST)
                 .addDomains(ANY_DOMAIN)
                 .addRoutes(Route.newBuilder()
                         .setMatch(pathPrefix(""))
-                        .setRoute(
-                                RouteAction.newBuilder().setCluster(ResourceFactory.CLUSTER + tierOf.applyAsInt(0, 0))))
+                        .setRoute(RouteAction.newBuilder()
+                                .setCluster(ResourceFactory.CLUSTER_PREFIX + tierOf.applyAsInt(0, 0))))
                 .build();
     }
 
@@ -160,15 +162,15 @@
     private RouteAction action(int requestClass, int tier) {
         long timeoutMs = (long) Math.max(1, deadlinesMs.get(requestClass));
         return RouteAction.newBuilder()
-                .setCluster(ResourceFactory.CLUSTER + tier)
+                .setCluster(ResourceFactory.CLUSTER_PREFIX + tier)
                 .setTimeout(Durations.fromMillis(timeoutMs))
                 .setRetryPolicy(retryPolicy(settings.classes().get(requestClass)))
                 .build();
     }
 
     /**
-     * Requests of an idempotent class are retried after any failure; others only where the attempt is proven not to have
-     * run: no connection, a refused stream, or a response with {@link ResourceFactory#UNPROCESSED_HEADER}.
+     * Requests of an idempotent class are retried after any failure; others only where the attempt was certainly not
+     * processed: no connection, a refused stream, or a response with {@link ResourceFactory#UNPROCESSED_HEADER}.
      */
     private RetryPolicy retryPolicy(RequestClass requestClass) {
         int retries = Math.max(0, settings.attemptLimits().maxAttempts() - 1);
@@ -191,7 +193,7 @@
                 .build();
     }
 
-    private RouteMatch withoutKnownPlan() {
+    private RouteMatch unknownPlanMatch() {
         return pathPrefix("/").toBuilder()
                 .addHeaders(HeaderMatcher.newBuilder()
                         .setName(ResourceFactory.PLAN_HEADER)
--- a/control/src/main/java/stonelb/control/resources/package-info.java
+++ b/control/src/main/java/stonelb/control/resources/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The xDS resources (v3) for proxies: listeners, routes, clusters and endpoints, made from the API description, the
+ * The xDS resources (v3) for proxies: listeners, routes, clusters and endpoints, built from the API description, the
  * settings, and the slot limits and weights of the decision engine.
  *
  * <p>{@link stonelb.control.resources.ResourceFactory} is the entry point, with one package-private factory for each
--- a/control/src/main/java/stonelb/control/xds/AdsCall.java
+++ b/control/src/main/java/stonelb/control/xds/AdsCall.java
@@ -14,23 +14,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The gRPC call of one ADS stream: checks whose stream it is and what is requested, passes requests that are valid to the
- * discovery server, and records its responses.
+ * The gRPC call of one ADS stream: verifies the node and the requests, passes valid requests to the discovery server,
+ * and records its responses.
  */
 final class AdsCall<RequestT, ResponseT> extends ForwardingServerCall.SimpleForwardingServerCall<RequestT, ResponseT> {
     private static final Logger LOG = LoggerFactory.getLogger(AdsCall.class);
     private static final int MAX_UNSUPPORTED_TYPES = 32;
 
-    /** Hears of the events of a call. */
-    interface Owner {
+    /** Receives the events of a call. */
+    interface CallListener {
 
-        /** The first request has named the node; its resources have to be published when this returns. */
+        /** The first request named the node; its resources have to be published before this returns. */
         void nodeIdentified(Node node);
 
         /** The peer's certificate does not name the node. */
         void permissionDenied();
 
-        /** The call has ended; called once. */
+        /** The call has ended. Called once. */
         void released(AdsCall<?, ?> call);
     }
 
@@ -38,7 +38,7 @@
     private final AdsConfigWatcher watcher;
     private final int maxNames;
     private final DoubleSupplier clock;
-    private final Owner owner;
+    private final CallListener callListener;
     private final RequestProcessor processor;
     private final Set<String> unsupportedTypes = new LinkedHashSet<>();
     private Node node; // null until the first request
@@ -50,13 +50,13 @@
             AdsConfigWatcher watcher,
             int maxNames,
             DoubleSupplier clock,
-            Owner owner) {
+            CallListener callListener) {
         super(call);
         this.stream = stream;
         this.watcher = watcher;
         this.maxNames = maxNames;
         this.clock = clock;
-        this.owner = owner;
+        this.callListener = callListener;
         processor = new RequestProcessor(stream);
     }
 
@@ -72,11 +72,11 @@
         }
     }
 
-    /** Releases the stream, unless that has been done. */
+    /** Releases the stream, unless the call has ended. */
     void release() {
         if (!ended) {
             ended = true;
-            owner.released(this);
+            callListener.released(this);
         }
     }
 
@@ -118,7 +118,7 @@
             return;
         }
         RequestHeader header = RequestHeader.of(request);
-        if (!identify(header.node())) {
+        if (!checkNode(header.node())) {
             return;
         }
         ResourceType type = ResourceType.forTypeUrl(header.typeUrl());
@@ -126,7 +126,7 @@
             receiveUnsupported(header.typeUrl());
             return;
         }
-        // The processor returns a request of the class that it was given.
+        // The processor returns a request of the same class.
         @SuppressWarnings("unchecked")
         RequestT processed = (RequestT) processor.process(type, request, node);
         if (processed == null) {
@@ -137,10 +137,10 @@
             end(Status.RESOURCE_EXHAUSTED.withDescription("more than " + maxNames + " names of a type"));
             return;
         }
-        pass(processed, server);
+        forward(processed, server);
     }
 
-    private void pass(RequestT request, ServerCall.Listener<RequestT> server) {
+    private void forward(RequestT request, ServerCall.Listener<RequestT> server) {
         watcher.setCurrentStream(stream);
         try {
             server.onMessage(request);
@@ -150,7 +150,7 @@
         stream.requestHandled();
     }
 
-    /** A type that is not served is never responded to, as the protocol wants it; too many of them end the call. */
+    /** Ignores a request for a type that is not served, as the protocol requires; too many of them end the call. */
     private void receiveUnsupported(String typeUrl) {
         if (unsupportedTypes.add(typeUrl) && unsupportedTypes.size() <= MAX_UNSUPPORTED_TYPES) {
             LOG.info("node {} requested the unsupported resource type '{}'", node.getId(), typeUrl);
@@ -164,10 +164,10 @@
         }
     }
 
-    /** Takes the node from the first request and checks that later ones name no other; false where the call has ended. */
-    private boolean identify(Node requested) {
+    /** Sets the node from the first request and checks that later ones name no other; false if the call was ended. */
+    private boolean checkNode(Node requested) {
         if (node == null) {
-            return identifyFirst(requested);
+            return acceptNode(requested);
         }
         String id = requested.getId();
         if (!id.isEmpty() && !id.equals(node.getId())) {
@@ -177,21 +177,21 @@
         return true;
     }
 
-    private boolean identifyFirst(Node requested) {
+    private boolean acceptNode(Node requested) {
         String id = requested.getId();
         if (id.isEmpty()) {
             end(Status.INVALID_ARGUMENT.withDescription("the first request names no node"));
             return false;
         }
-        if (!ProxyIdentity.maySpeakFor(getAttributes(), id)) {
-            owner.permissionDenied();
+        if (!ProxyIdentity.isAuthorizedFor(getAttributes(), id)) {
+            callListener.permissionDenied();
             LOG.warn("permission denied: the certificate of a peer does not name node {}", id);
             end(Status.PERMISSION_DENIED.withDescription("the certificate does not name this node"));
             return false;
         }
         node = requested;
-        stream.attachTo(id);
-        owner.nodeIdentified(requested);
+        stream.setNode(id);
+        callListener.nodeIdentified(requested);
         return true;
     }
 }
--- a/control/src/main/java/stonelb/control/xds/AdsConfigWatcher.java
+++ b/control/src/main/java/stonelb/control/xds/AdsConfigWatcher.java
@@ -12,17 +12,17 @@
 import java.util.function.Consumer;
 
 /**
- * Where the discovery server of java-control-plane gets its resources, in place of that library's own cache. The cache
- * responds to a NACK with the rejected content, holds all resources back while a subscribed one does not exist, treats
+ * Provides the discovery server of java-control-plane with resources, in place of that library's own cache. That cache
+ * responds to a NACK with the rejected content, withholds all resources while a subscribed one does not exist, treats
  * every subscription to clusters and listeners as a wildcard, and ignores {@code initial_resource_versions}; see
  * docs/design/control.md.
  *
- * <p>A watch of a type that is not served is never responded to, as the protocol wants it.
+ * <p>A watch of a type that is not served never gets a response, as the protocol requires.
  */
 final class AdsConfigWatcher implements ConfigWatcher {
     private AdsStream currentStream;
 
-    /** Sets the stream whose request is being handled; requests are handled one at a time. Null for none. */
+    /** Sets the stream whose request is being handled, or null. Requests are handled one at a time. */
     void setCurrentStream(AdsStream stream) {
         currentStream = stream;
     }
--- a/control/src/main/java/stonelb/control/xds/AdsServer.java
+++ b/control/src/main/java/stonelb/control/xds/AdsServer.java
@@ -4,37 +4,37 @@
 import io.grpc.ServerInterceptor;
 import java.util.function.DoubleSupplier;
 
-/** The ADS side as a whole: what the discovery server of java-control-plane is built with. */
+/** The ADS implementation: the config watcher and the interceptor for the discovery server of java-control-plane. */
 public final class AdsServer {
     private final AdsConfigWatcher watcher = new AdsConfigWatcher();
     private final StreamInterceptor interceptor;
 
-    /** Creates the server side; the clock gives the time of the event loop in ms. */
+    /** Creates the server; the clock gives the time of the event loop in ms. */
     public AdsServer(ProxyStreams streams, StreamLimits limits, DoubleSupplier clock, StreamListener listener) {
         interceptor = new StreamInterceptor(streams, watcher, limits, clock, listener);
     }
 
-    /** Gives the discovery server its resources. */
+    /** Provides the discovery server with resources. */
     public ConfigWatcher watcher() {
         return watcher;
     }
 
-    /** Has to intercept the calls of the discovery server. */
+    /** The interceptor to install for the calls of the discovery server. */
     public ServerInterceptor interceptor() {
         return interceptor;
     }
 
-    /** Closes stalled streams; to be called regularly. */
-    public void sweep() {
+    /** Closes stalled streams. Has to be called periodically. */
+    public void closeStalledStreams() {
         interceptor.closeStalledStreams();
     }
 
-    /** Streams that are open now. */
+    /** The number of open streams. */
     public int openStreams() {
         return interceptor.openStreams();
     }
 
-    /** Streams rejected since the start, for their number or for their certificate. */
+    /** The number of streams rejected since the start, by the limit of streams or for their certificate. */
     public long rejectedStreams() {
         return interceptor.rejectedStreams();
     }
--- a/control/src/main/java/stonelb/control/xds/AdsStream.java
+++ b/control/src/main/java/stonelb/control/xds/AdsStream.java
@@ -16,7 +16,7 @@
 /** One ADS stream of a proxy, with the state of each resource type that it has requested. */
 final class AdsStream {
 
-    /** Computes what has to be sent of a set of resources in one variant of the protocol; null where there is nothing. */
+    /** Computes the update for one variant of the protocol, or null if there is nothing to send. */
     private interface UpdateFunction {
         ResourceUpdate updateFor(Subscription subscription, Map<String, VersionedMessage> resources, boolean resend);
     }
@@ -33,8 +33,8 @@
         this.peer = peer;
     }
 
-    /** Ties the stream to the node that its first request names. */
-    void attachTo(String node) {
+    /** Sets the node that the first request names, and registers the stream for it. */
+    void setNode(String node) {
         proxy = streams.stateOf(node);
         streams.add(this);
     }
@@ -54,7 +54,7 @@
         return state != null && state.hasOutstandingResponse();
     }
 
-    /** The longest that a response has been without ACK or NACK, in ms. */
+    /** How long the oldest outstanding response has been without ACK or NACK, in ms. */
     double stalledMs(double now) {
         return states.values().stream()
                 .filter(ResourceTypeState::hasOutstandingResponse)
@@ -63,7 +63,7 @@
                 .orElse(0);
     }
 
-    /** Responds to the waiting request of a type, where there is one and there is something to send. */
+    /** Responds to the pending request of a type, if there is one and there is something to send. */
     void respond(ResourceType type) {
         ResourceTypeState state = states.get(type);
         if (state != null && state.watch() != null) {
@@ -104,7 +104,7 @@
     private void watch(ResourceType type, UpdateFunction updates, BiConsumer<ResourceUpdate, String> responses) {
         ResourceTypeState state = state(type);
         Runnable watch = () -> {
-            Map<String, VersionedMessage> resources = proxy.offered().get(type);
+            Map<String, VersionedMessage> resources = proxy.served().get(type);
             ResourceUpdate update = updates.updateFor(state.subscription(), resources, state.isResendRequired());
             if (update != null) {
                 state.completeWatch();
@@ -115,12 +115,12 @@
         watch.run();
     }
 
-    /** The watch that waits for content of a type, or null. */
+    /** The pending watch of a type, or null. */
     Runnable pendingWatch(ResourceType type) {
         return state(type).watch();
     }
 
-    /** Cancels a watch, where it is still the one that waits. */
+    /** Cancels a watch if it is still pending. */
     void cancelWatch(ResourceType type, Runnable watch) {
         ResourceTypeState state = states.get(type);
         if (state != null && state.watch() == watch) {
@@ -128,7 +128,7 @@
         }
     }
 
-    /** Records a response. After clusters a proxy waits for endpoints, also for those that have not changed. */
+    /** Records a response. After clusters a proxy waits for their endpoints, even if those have not changed. */
     void responseSent(ResourceType type, String nonce, String version, int bytes, double now) {
         state(type).responseSent(nonce, version, bytes, now);
         if (type == ResourceType.CLUSTER) {
@@ -136,7 +136,9 @@
         }
     }
 
-    /** A request has been handled, and its watch is made: resources retained for older routes may go. */
+    /**
+     * Called once a request is handled and its watch created: drops resources retained for older routes if possible.
+     */
     void requestHandled() {
         if (proxy != null) {
             streams.releaseRetained(proxy);
--- a/control/src/main/java/stonelb/control/xds/ProxyIdentity.java
+++ b/control/src/main/java/stonelb/control/xds/ProxyIdentity.java
@@ -14,16 +14,16 @@
 import javax.net.ssl.SSLPeerUnverifiedException;
 import javax.net.ssl.SSLSession;
 
-/** The nodes that a connection may speak for: those that its certificate names. Without TLS, any. */
+/** Authorizes connections for nodes: a TLS connection for those that its certificate names, any other for all. */
 public final class ProxyIdentity {
-    // Types of alternative names, RFC 5280, 4.2.1.6
+    // Types of subject alternative names, RFC 5280, 4.2.1.6
     private static final int DNS_NAME = 2;
     private static final int URI_NAME = 6;
 
     private ProxyIdentity() {}
 
-    /** Whether the peer may speak for the node. A TLS connection without a certificate is never accepted. */
-    public static boolean maySpeakFor(Attributes connection, String node) {
+    /** Whether the peer may act as the node. A TLS connection without a client certificate never may. */
+    public static boolean isAuthorizedFor(Attributes connection, String node) {
         SSLSession session = connection.get(Grpc.TRANSPORT_ATTR_SSL_SESSION);
         if (session == null) {
             return true;
@@ -37,7 +37,7 @@
     }
 
     /**
-     * The names of a certificate: its common name and its DNS and URI alternative names (RFC 5280, 4.2.1.6). Empty where
+     * The names of a certificate: its common name and its DNS and URI alternative names (RFC 5280, 4.2.1.6). Empty if
      * a name can't be parsed.
      */
     private static Set<String> namesOf(X509Certificate certificate) {
--- a/control/src/main/java/stonelb/control/xds/ProxyState.java
+++ b/control/src/main/java/stonelb/control/xds/ProxyState.java
@@ -8,7 +8,7 @@
     private final String node;
     private final List<AdsStream> streams = new ArrayList<>();
     private ResourceSet published = ResourceSet.EMPTY;
-    private ResourceSet offered = ResourceSet.EMPTY; // published, with what routes in use may still name
+    private ResourceSet served = ResourceSet.EMPTY; // published, and resources that routes in use may still name
 
     ProxyState(String node) {
         this.node = node;
@@ -18,33 +18,33 @@
         return node;
     }
 
-    /** The open streams; the list itself. */
+    /** The open streams, as a live list. */
     List<AdsStream> streams() {
         return streams;
     }
 
-    /** What the proxy should end up with. */
+    /** The resources last published for the proxy. */
     ResourceSet published() {
         return published;
     }
 
-    /** What its streams are served from. */
-    ResourceSet offered() {
-        return offered;
+    /** The resources served to its streams. */
+    ResourceSet served() {
+        return served;
     }
 
-    /** Replaces the resources; clusters and endpoints that older routes may name are offered further. */
+    /** Replaces the resources; clusters and endpoints that older routes may name are still served. */
     void replace(ResourceSet resources) {
         published = resources;
-        offered = resources.retaining(offered);
+        served = resources.retaining(served);
     }
 
-    /** Whether resources are offered for the sake of older routes alone. */
+    /** Whether resources are served that only older routes may name. */
     boolean retainsResources() {
-        return offered != published;
+        return served != published;
     }
 
     void dropRetainedResources() {
-        offered = published;
+        served = published;
     }
 }
--- a/control/src/main/java/stonelb/control/xds/ProxyStreams.java
+++ b/control/src/main/java/stonelb/control/xds/ProxyStreams.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The published resources of every proxy and the streams that follow them. Not thread-safe. */
+/** The published resources of every proxy and the streams that receive them. Not thread-safe. */
 public final class ProxyStreams {
     private final Map<String, ProxyState> proxies = new TreeMap<>();
 
@@ -12,7 +12,7 @@
         return proxies.computeIfAbsent(node, ProxyState::new);
     }
 
-    /** Publishes new resources: clusters and endpoints first, then listeners and routes, then what these no longer need. */
+    /** Publishes resources: clusters and endpoints, then listeners and routes, then the removal of unused resources. */
     public void publish(String node, ResourceSet resources) {
         ProxyState proxy = stateOf(node);
         proxy.replace(resources);
@@ -28,7 +28,9 @@
         }
     }
 
-    /** Drops what only older routes named, once no stream has a response on routes or listeners outstanding. */
+    /**
+     * Drops resources that only older routes named, once no stream has an outstanding response of routes or listeners.
+     */
     void releaseRetained(ProxyState proxy) {
         if (proxy.retainsResources() && proxy.streams().stream().noneMatch(ProxyStreams::awaitsRoutes)) {
             proxy.dropRetainedResources();
@@ -41,7 +43,7 @@
                 || stream.hasOutstandingResponse(ResourceType.LISTENER);
     }
 
-    /** The resources last published for a node; empty before the first. */
+    /** The resources last published for a node, empty if there are none. */
     public ResourceSet published(String node) {
         return stateOf(node).published();
     }
@@ -71,7 +73,7 @@
         stateOf(stream.node()).streams().add(stream);
     }
 
-    /** Removes a closed stream; one that never named its node is not held here. */
+    /** Removes a closed stream; one that never named its node was never added. */
     void remove(AdsStream stream) {
         if (stream.node() != null) {
             ProxyState proxy = stateOf(stream.node());
--- a/control/src/main/java/stonelb/control/xds/RequestHeader.java
+++ b/control/src/main/java/stonelb/control/xds/RequestHeader.java
@@ -5,7 +5,7 @@
 import io.envoyproxy.envoy.service.discovery.v3.DiscoveryRequest;
 
 /**
- * What the requests of both variants of ADS have in common.
+ * The fields that requests of both variants of ADS share.
  *
  * @param typeUrl the resource type that is requested
  * @param node the node as the request names it; only the first one of a stream has to
--- a/control/src/main/java/stonelb/control/xds/RequestProcessor.java
+++ b/control/src/main/java/stonelb/control/xds/RequestProcessor.java
@@ -8,8 +8,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes the subscriptions, ACKs and NACKs of a stream's requests into its state, and gives the requests in the form that
- * the discovery server can process.
+ * Updates a stream's state with the subscriptions, ACKs and NACKs of its requests, and converts the requests to the
+ * form that the discovery server can process.
  */
 final class RequestProcessor {
     private static final Logger LOG = LoggerFactory.getLogger(RequestProcessor.class);
@@ -21,7 +21,7 @@
         this.stream = stream;
     }
 
-    /** The request as the discovery server should see it, or null where it is stale and has to be dropped. */
+    /** The request as the discovery server should see it, or null if it is stale and has to be dropped. */
     Object process(ResourceType type, Object request, Node node) {
         if (request instanceof DiscoveryRequest stateOfTheWorld) {
             return process(type, stateOfTheWorld, node);
@@ -33,9 +33,9 @@
         ResourceTypeState state = stream.state(type);
         if (state.hasOutstandingResponse()) {
             if (!state.isOutstanding(request.getResponseNonce())) {
-                return null; // stale: it responds to an older response, and a newer one is on its way
+                return null; // stale: it answers an older response, and a newer one was sent since
             }
-            settle(type, state, request.hasErrorDetail(), request.getErrorDetail(), node);
+            handleAckOrNack(type, state, request.hasErrorDetail(), request.getErrorDetail(), node);
         }
         state.subscription().requestReceived(request.getResourceNamesList(), request.getVersionInfo());
         return request.getNode().getId().isEmpty()
@@ -53,15 +53,16 @@
         DeltaDiscoveryRequest.Builder processed = request.toBuilder().setNode(node);
         String nonce = request.getResponseNonce();
         if (!nonce.isEmpty() && state.isOutstanding(nonce)) {
-            settle(type, state, request.hasErrorDetail(), request.getErrorDetail(), node);
+            handleAckOrNack(type, state, request.hasErrorDetail(), request.getErrorDetail(), node);
         } else {
-            // The discovery server takes any nonce for one of its own and fails on others with a null pointer.
+            // The discovery server assumes that a nonce is its own; on any other it throws a NullPointerException.
             processed.clearResponseNonce().clearErrorDetail();
         }
         return processed.build();
     }
 
-    private static void settle(ResourceType type, ResourceTypeState state, boolean isNack, Status error, Node node) {
+    private static void handleAckOrNack(
+            ResourceType type, ResourceTypeState state, boolean isNack, Status error, Node node) {
         if (!isNack) {
             state.acknowledged();
             return;
--- a/control/src/main/java/stonelb/control/xds/ResourceSet.java
+++ b/control/src/main/java/stonelb/control/xds/ResourceSet.java
@@ -20,7 +20,7 @@
         return byType.getOrDefault(type, Map.of());
     }
 
-    /** A copy with the resources of one type replaced; the map is kept as it is and must not change. */
+    /** A copy with the resources of one type replaced. The map is not copied and must not change. */
     public ResourceSet with(ResourceType type, Map<String, VersionedMessage> resources) {
         Map<ResourceType, Map<String, VersionedMessage>> copy = new EnumMap<>(ResourceType.class);
         copy.putAll(byType);
@@ -29,8 +29,8 @@
     }
 
     /**
-     * This set, with the clusters and endpoints of an older one that it no longer holds: routes that a proxy still uses
-     * may name them until it has accepted the new routes.
+     * This set, plus the clusters and endpoints of an older one that it does not contain: routes that a proxy still
+     * uses may name them until it has accepted the new routes.
      */
     ResourceSet retaining(ResourceSet older) {
         return retaining(ResourceType.CLUSTER, older).retaining(ResourceType.ENDPOINTS, older);
