--- a/control/src/main/java/stonelb/control/xds/ResourceType.java
+++ b/control/src/main/java/stonelb/control/xds/ResourceType.java
@@ -33,7 +33,7 @@
         this.wildcardByDefault = wildcardByDefault;
     }
 
-    /** The type of a type URL, or null for one that is not served. */
+    /** The type with this URL, or null if it is not served. */
     public static ResourceType forTypeUrl(String typeUrl) {
         return BY_TYPE_URL.get(typeUrl);
     }
@@ -43,7 +43,7 @@
         return typeUrl;
     }
 
-    /** Whether a first request that names nothing subscribes to all of them (xDS protocol, "wildcard"). */
+    /** Whether a first request without names subscribes to all resources (xDS protocol, "wildcard"). */
     boolean isWildcardByDefault() {
         return wildcardByDefault;
     }
--- a/control/src/main/java/stonelb/control/xds/ResourceTypeState.java
+++ b/control/src/main/java/stonelb/control/xds/ResourceTypeState.java
@@ -1,13 +1,13 @@
 package stonelb.control.xds;
 
-/** One resource type on one stream: its subscription, the watch that waits for content, and the outstanding response. */
+/** One resource type on one stream: its subscription, the pending watch, and the outstanding response. */
 final class ResourceTypeState {
-    /** What a subscription is reported to hold where it is a wildcard. */
+    /** The number of names reported for a wildcard subscription. */
     private static final int ALL_NAMES = -1;
 
     private final Subscription subscription;
-    private Runnable watch; // responds where there is content to send; null without a request to respond to
-    private String outstandingNonce; // of the response that waits for ACK or NACK, or null
+    private Runnable watch; // responds if there is an update to send; null if no request is pending
+    private String outstandingNonce; // of the response without ACK or NACK, or null
     private double sentAt;
     private String sentVersion = "";
     private String acknowledgedVersion = "";
@@ -24,7 +24,7 @@
         return subscription;
     }
 
-    /** The watch that waits for content, or null. */
+    /** The pending watch, or null. */
     Runnable watch() {
         return watch;
     }
@@ -33,7 +33,7 @@
         this.watch = watch;
     }
 
-    /** Whether the next response has to hold all subscribed resources, changed or not. */
+    /** Whether the next response has to contain all subscribed resources, changed or not. */
     boolean isResendRequired() {
         return resend;
     }
@@ -42,7 +42,7 @@
         resend = true;
     }
 
-    /** The watch has an update to respond with: it ends, and so does a required resend. */
+    /** Clears the watch and the required resend; called when an update is about to be sent. */
     void completeWatch() {
         watch = null;
         resend = false;
@@ -69,14 +69,14 @@
         return now - sentAt;
     }
 
-    /** The proxy has sent an ACK for the outstanding response. */
+    /** Records an ACK of the outstanding response. */
     void acknowledged() {
         outstandingNonce = null;
         acknowledgedVersion = sentVersion;
         rejectionReason = null;
     }
 
-    /** The proxy has sent a NACK for the outstanding response. */
+    /** Records a NACK of the outstanding response. */
     void rejected(String reason) {
         outstandingNonce = null;
         rejectionReason = reason;
--- a/control/src/main/java/stonelb/control/xds/StreamInterceptor.java
+++ b/control/src/main/java/stonelb/control/xds/StreamInterceptor.java
@@ -14,10 +14,10 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Intercepts every ADS stream before the discovery server of java-control-plane: it limits their number, and wraps each
- * in an {@link AdsCall}. It owns the streams: each is made and released here.
+ * Intercepts every ADS stream before the discovery server of java-control-plane: limits their number, and wraps each in
+ * an {@link AdsCall}. It owns the streams: each is created and closed here.
  */
-final class StreamInterceptor implements ServerInterceptor, AdsCall.Owner {
+final class StreamInterceptor implements ServerInterceptor, AdsCall.CallListener {
     private static final String STATE_OF_THE_WORLD_METHOD = "StreamAggregatedResources";
     private static final String INCREMENTAL_METHOD = "DeltaAggregatedResources";
 
@@ -50,7 +50,7 @@
         return rejectedStreams;
     }
 
-    /** Closes streams whose proxy has stopped reading or responding. */
+    /** Closes streams whose proxy no longer reads or responds. */
     void closeStalledStreams() {
         double now = clock.getAsDouble();
         for (AdsCall<?, ?> call : List.copyOf(calls)) {
@@ -103,7 +103,7 @@
         }
     }
 
-    /** Passes requests through the call, and releases it at its end. */
+    /** Passes requests to the call, and releases it when it is cancelled or complete. */
     private static final class AdsCallListener<RequestT>
             extends ForwardingServerCallListener.SimpleForwardingServerCallListener<RequestT> {
         private final AdsCall<RequestT, ?> call;
--- a/control/src/main/java/stonelb/control/xds/StreamListener.java
+++ b/control/src/main/java/stonelb/control/xds/StreamListener.java
@@ -2,10 +2,10 @@
 
 import io.envoyproxy.envoy.config.core.v3.Node;
 
-/** Hears of the streams of proxies. */
+/** Receives events of the streams of proxies. */
 public interface StreamListener {
 
-    /** A stream has named its node; the node's resources have to be published when this returns. */
+    /** A stream named its node; the node's resources have to be published before this returns. */
     void streamOpened(Node node);
 
     /** The last stream of a node has closed. */
--- a/control/src/main/java/stonelb/control/xds/Subscription.java
+++ b/control/src/main/java/stonelb/control/xds/Subscription.java
@@ -10,11 +10,12 @@
 import java.util.TreeSet;
 
 /**
- * What one stream subscribes to of one resource type, and what it was sent: the state of the xDS protocol that decides
- * whether there is anything to send. It does no I/O and serves the state-of-the-world and the incremental variant.
+ * The subscription of one stream to one resource type, and the versions sent to it. This state of the xDS protocol
+ * determines whether there is anything to send. It does no I/O and supports the state-of-the-world and the incremental
+ * variant.
  *
- * <p>A resource counts as sent also where the proxy rejects it (NACK): the same content is not sent again, and the next
- * one that differs is. Source: the xDS REST and gRPC protocol, sections on ACK and NACK, on subscribing to resources, and
+ * <p>A resource counts as sent even if the proxy rejects it (NACK): the same content is not sent again, but changed
+ * content is. Source: the xDS REST and gRPC protocol, sections on ACK and NACK, on subscribing to resources, and
  * on the incremental variants.
  */
 final class Subscription {
@@ -27,14 +28,16 @@
     private final Map<String, String> sentVersions = new TreeMap<>();
     private boolean wildcard;
     private boolean requestReceived;
-    private boolean hasNamedResources; // from then on an empty list no longer means a wildcard
-    private String claimedVersion = ""; // what the proxy says it holds, before anything was sent here
+    private boolean hasNamedResources; // once set, an empty list no longer means a wildcard
+    private String claimedVersion = ""; // the version that the proxy has from an earlier stream
 
     Subscription(ResourceType type) {
         this.type = type;
     }
 
-    /** A state-of-the-world request that is not stale. An empty list means all, until names were given once. */
+    /**
+     * Handles a state-of-the-world request that is not stale. An empty list means all until names were requested once.
+     */
     void requestReceived(Collection<String> requested, String version) {
         if (!requestReceived) {
             claimedVersion = version;
@@ -47,14 +50,14 @@
         current.remove(WILDCARD);
         for (String name : current) {
             if (!wasWildcard && !names.contains(name)) {
-                sentVersions.remove(name); // the proxy does not hold a name that it subscribes to anew
+                sentVersions.remove(name); // the proxy does not have a resource that it newly subscribes to
             }
         }
         names.clear();
         names.addAll(current);
     }
 
-    /** An incremental request; the initial versions are those that a reconnecting proxy still holds. */
+    /** Handles an incremental request; the initial versions are those that a reconnecting proxy still has. */
     void requestReceived(
             Collection<String> subscribe, Collection<String> unsubscribe, Map<String, String> initialVersions) {
         if (!requestReceived) {
@@ -82,7 +85,7 @@
         }
     }
 
-    /** A name that is subscribed again, without being held, was dropped by the proxy and has to be sent again. */
+    /** A name that is subscribed to again was dropped by the proxy and has to be resent, unless the proxy has it. */
     private void subscribe(String name, boolean isHeld) {
         if (name.equals(WILDCARD)) {
             wildcard = true;
@@ -128,32 +131,32 @@
     }
 
     /**
-     * State of the world: everything subscribed where anything of it is new, else null. A name that does not exist yet is
-     * left out and sent once it exists; the others don't wait for it.
+     * The state-of-the-world update: all subscribed resources if any of them changed, otherwise null. A name that does
+     * not exist yet is left out and sent once it exists, without delaying the others.
      *
-     * @param resend whether to send also what has not changed: after clusters a proxy waits for their endpoints
+     * @param resend whether to send unchanged resources too: after clusters a proxy waits for their endpoints
      */
     ResourceUpdate stateOfTheWorldUpdate(Map<String, VersionedMessage> resources, boolean resend) {
         Map<String, VersionedMessage> subscribed = subscribed(resources);
-        boolean firstIsEmpty = requestReceived
+        boolean isEmptyFirstUpdate = requestReceived
                 && wildcard
                 && sentVersions.isEmpty()
                 && subscribed.isEmpty()
                 && claimedVersion.isEmpty();
         if (!claimedVersion.isEmpty() && claimedVersion.equals(version(resources))) {
-            recordSent(subscribed); // the proxy holds all of it from an earlier stream
+            recordSent(subscribed); // the proxy has all of it from an earlier stream
         }
         boolean resendAny = resend && !subscribed.isEmpty();
-        if (!firstIsEmpty && !resendAny && !differsFromSent(subscribed)) {
+        if (!isEmptyFirstUpdate && !resendAny && !differsFromSent(subscribed)) {
             return null;
         }
-        claimedVersion = firstIsEmpty ? version(resources) : "";
+        claimedVersion = isEmptyFirstUpdate ? version(resources) : "";
         sentVersions.clear();
         recordSent(subscribed);
         return new ResourceUpdate(subscribed, List.of());
     }
 
-    /** Whether a resource is new or changed, or, for a wildcard, one that was sent is gone. */
+    /** Whether a resource is new or changed or, for a wildcard, one that was sent no longer exists. */
     private boolean differsFromSent(Map<String, VersionedMessage> subscribed) {
         for (Map.Entry<String, VersionedMessage> entry : subscribed.entrySet()) {
             if (!entry.getValue().version().equals(sentVersions.get(entry.getKey()))) {
@@ -168,7 +171,7 @@
     }
 
     /**
-     * Incremental: what has changed, what is gone, and names requested that do not exist; null where there is nothing.
+     * The incremental update: changed resources, removed ones, and requested names that do not exist; null if empty.
      *
      * @param resend as for {@link #stateOfTheWorldUpdate}
      */
@@ -187,7 +190,7 @@
         return changed.isEmpty() && removed.isEmpty() ? null : new ResourceUpdate(changed, List.copyOf(removed));
     }
 
-    /** Names that were requested or sent and do not exist (any more). */
+    /** Names that were requested or sent and do not exist. */
     private Set<String> missing(Map<String, VersionedMessage> resources) {
         Set<String> missing = new TreeSet<>();
         for (String name : newlyRequested) {
--- a/control/src/main/java/stonelb/control/xds/VersionedMessage.java
+++ b/control/src/main/java/stonelb/control/xds/VersionedMessage.java
@@ -12,8 +12,8 @@
 public record VersionedMessage(Message message, String version) {
 
     /**
-     * The message with the version of its bytes. Equal content may serialize differently only where a message holds a map
-     * of several entries, which none of those served does; a different hash would cost no more than one extra push.
+     * The message with a hash of its bytes as version. Equal content may serialize differently only if a message has a
+     * map of several entries, which none of those served has; a different hash would only cause one extra push.
      */
     public static VersionedMessage of(Message message) {
         String version =
--- a/control/src/test/java/stonelb/control/AdsTest.java
+++ b/control/src/test/java/stonelb/control/AdsTest.java
@@ -33,17 +33,17 @@
 import stonelb.standins.GatewayProcess;
 import stonelb.standins.StubFleet;
 
-/** ADS on the wire: invalid requests, lost and stalled streams, and the order of responses. */
+/** ADS over real gRPC streams: invalid requests, lost and stalled streams, and the order of responses. */
 class AdsTest {
-    private static final String ENDPOINTS_NAME = ResourceFactory.SERVERS;
+    private static final String ENDPOINTS_NAME = ResourceFactory.EDS_SERVICE_NAME;
 
     @TempDir
     Path folder;
 
     private static boolean isAnyDraining(ClusterLoadAssignment assignment) {
         return assignment.getEndpointsList().stream()
-                .flatMap(e -> e.getLbEndpointsList().stream())
-                .anyMatch(e -> e.getHealthStatus() == HealthStatus.DRAINING);
+                .flatMap(locality -> locality.getLbEndpointsList().stream())
+                .anyMatch(endpoint -> endpoint.getHealthStatus() == HealthStatus.DRAINING);
     }
 
     @Test
@@ -80,11 +80,11 @@
             DiscoveryResponse routes = accepting.nextResponse();
             assertEquals(ResourceType.ROUTES.typeUrl(), routes.getTypeUrl());
             assertEquals(1, routes.getResourcesCount());
-            assertNull(rejecting.responses.poll(300, TimeUnit.MILLISECONDS), "the rejected content was sent again");
+            assertNull(rejecting.responses.poll(300, TimeUnit.MILLISECONDS), "the rejected resources were sent again");
             String status = StatusJson.read(harness);
             assertTrue(status.contains("planted"), status);
 
-            harness.fleet.status("s-1", "terminating");
+            harness.fleet.setStatus("s-1", "terminating");
             DiscoveryResponse nextResponse = rejecting.nextResponse();
             assertNotEquals(firstResponse.getVersionInfo(), nextResponse.getVersionInfo());
             assertTrue(isAnyDraining(nextResponse.getResources(0).unpack(ClusterLoadAssignment.class)));
@@ -105,10 +105,10 @@
             DeltaDiscoveryResponse firstResponse = stream.nextResponse();
             assertEquals(List.of("later"), firstResponse.getRemovedResourcesList());
             Resource heldResource = firstResponse.getResources(0);
-            // Lost in the middle of an update: it never acknowledges. Meanwhile an endpoint is draining.
+            // The stream is lost before the response is acknowledged. Meanwhile an endpoint starts to drain.
             stream.requests.cancel("gone", null);
-            harness.fleet.status("s-2", "terminating");
-            GatewayProcess.until(
+            harness.fleet.setStatus("s-2", "terminating");
+            GatewayProcess.awaitCondition(
                     "the stream is released", () -> StatusJson.read(harness).contains("\"streams\":0"));
 
             var reconnected = harness.openIncrementalStream();
@@ -129,7 +129,7 @@
                     .setResponseNonce(nextResponse.getNonce())
                     .build());
 
-            // With the current versions there is nothing to send; what is subscribed later is sent alone.
+            // With the current versions there is nothing to send; only a type subscribed afterwards is sent.
             var upToDate = harness.openIncrementalStream();
             upToDate.requests.onNext(DeltaDiscoveryRequest.newBuilder()
                     .setNode(Node.newBuilder().setId("p"))
@@ -183,8 +183,8 @@
             assertEquals(Code.RESOURCE_EXHAUSTED, tooLarge.awaitClose().getCode());
 
             // Streams over the limit are rejected, and open ones stay.
-            GatewayProcess.until(
-                    "they are released", () -> StatusJson.read(harness).contains("\"streams\":1"));
+            GatewayProcess.awaitCondition("the closed streams are released", () -> StatusJson.read(harness)
+                    .contains("\"streams\":1"));
             List<? extends ControlTestHarness.RawStream<DiscoveryRequest, DiscoveryResponse>> excess = IntStream.range(
                             0, 40)
                     .mapToObj(i -> {
@@ -194,14 +194,14 @@
                         return stream;
                     })
                     .toList();
-            GatewayProcess.until("all are answered or rejected", () -> excess.stream()
-                    .allMatch(f -> !f.responses.isEmpty() || !f.closeStatuses.isEmpty()));
+            GatewayProcess.awaitCondition("all are answered or rejected", () -> excess.stream()
+                    .allMatch(stream -> !stream.responses.isEmpty() || !stream.closeStatuses.isEmpty()));
             long rejectedCount = excess.stream()
-                    .filter(f ->
-                            !f.closeStatuses.isEmpty() && f.closeStatuses.peek().getCode() == Code.UNAVAILABLE)
+                    .filter(stream -> !stream.closeStatuses.isEmpty()
+                            && stream.closeStatuses.peek().getCode() == Code.UNAVAILABLE)
                     .count();
             assertEquals(35, rejectedCount);
-            harness.fleet.status("s-0", "terminating");
+            harness.fleet.setStatus("s-0", "terminating");
             healthy.requests.onNext(ControlTestHarness.request("fine", ResourceType.ENDPOINTS.typeUrl(), ENDPOINTS_NAME)
                     .build());
             assertEquals(
@@ -210,7 +210,7 @@
     }
 
     @Test
-    void proxyThatDoesNotReadBlocksNoOtherAndHasOnePendingResponsePerType() throws Exception {
+    void nonReadingProxyDoesNotBlockOthersAndHasOnePendingResponsePerType() throws Exception {
         try (ControlTestHarness harness = new ControlTestHarness(folder, 4, "")) {
             var notReading = harness.openStateOfTheWorldStream(true);
             notReading.requests.onNext(
@@ -221,7 +221,7 @@
                     .build());
             for (int i = 0; i < 20; i++) {
                 DiscoveryResponse response = healthy.nextResponse();
-                harness.fleet.status("s-1", i % 2 == 0 ? "terminating" : "in_service");
+                harness.fleet.setStatus("s-1", i % 2 == 0 ? "terminating" : "in_service");
                 healthy.requests.onNext(
                         ControlTestHarness.ack(response, ENDPOINTS_NAME).build());
             }
@@ -247,7 +247,9 @@
             Files.writeString(
                     harness.description,
                     StubFleet.DESCRIPTION.replace("x-stonelb-class: session-log", "x-stonelb-class: no-such"));
-            assertNull(stream.responses.poll(300, TimeUnit.MILLISECONDS), "a class that is not in the settings");
+            assertNull(
+                    stream.responses.poll(300, TimeUnit.MILLISECONDS),
+                    "a description with a class that is not in the settings was published");
             Files.writeString(
                     harness.description,
                     StubFleet.DESCRIPTION
@@ -255,7 +257,7 @@
             RouteConfiguration routes = stream.nextResponse().getResources(0).unpack(RouteConfiguration.class);
             assertTrue(routes.toString().contains("/v1/new"));
             var logRoute = routes.getVirtualHosts(0).getRoutesList().stream()
-                    .filter(response -> response.getName().contains("/v1/sessions"))
+                    .filter(route -> route.getName().contains("/v1/sessions"))
                     .findFirst()
                     .get();
             assertTrue(
--- a/control/src/test/java/stonelb/control/ControlTestHarness.java
+++ b/control/src/test/java/stonelb/control/ControlTestHarness.java
@@ -29,16 +29,16 @@
 import java.util.concurrent.atomic.AtomicLong;
 import stonelb.config.Configuration;
 import stonelb.follower.ClientOptions;
-import stonelb.proxy.StandInProxy;
+import stonelb.proxy.StubProxy;
 import stonelb.standins.GatewayProcess;
 import stonelb.standins.StubFleet;
 
-/** A control service among stubs, with the proxies and raw ADS streams of a test. */
+/** A control service with stub dependencies, and the proxies and raw ADS streams of a test. */
 final class ControlTestHarness implements AutoCloseable {
     final StubFleet fleet;
     final Path folder;
     final Path description;
-    final List<StandInProxy> startedProxies = new ArrayList<>();
+    final List<StubProxy> startedProxies = new ArrayList<>();
     final HttpClient httpClient =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     final ManagedChannel channel;
@@ -70,19 +70,19 @@
         return started;
     }
 
-    StandInProxy startProxy(String node, boolean incremental) throws Exception {
-        StandInProxy proxy =
-                new StandInProxy(new ClientOptions(node, "127.0.0.1", service.port(), incremental, null, 50), 0);
+    StubProxy startProxy(String node, boolean incremental) throws Exception {
+        StubProxy proxy = new StubProxy(new ClientOptions(node, "127.0.0.1", service.port(), incremental, null, 50), 0);
         startedProxies.add(proxy);
-        GatewayProcess.until(node + " is ready", () -> proxy.follower().ready());
+        GatewayProcess.awaitCondition(
+                node + " is ready", () -> proxy.controlClient().isReady());
         return proxy;
     }
 
-    int sendRequest(StandInProxy proxy, String customer, String plan) throws IOException, InterruptedException {
+    int sendRequest(StubProxy proxy, String customer, String plan) throws IOException, InterruptedException {
         return sendRequest(proxy, "GET", "/v1/plans/7", customer, plan);
     }
 
-    int sendRequest(StandInProxy proxy, String method, String path, String customer, String plan)
+    int sendRequest(StubProxy proxy, String method, String path, String customer, String plan)
             throws IOException, InterruptedException {
         HttpRequest.Builder request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + proxy.port() + path))
                 .method(method, HttpRequest.BodyPublishers.noBody())
@@ -96,11 +96,11 @@
                 .statusCode();
     }
 
-    /** A raw ADS stream: the test writes the requests; responses and the closing status are queued. */
-    static final class RawStream<Q, R> implements ClientResponseObserver<Q, R> {
-        final LinkedBlockingQueue<R> responses = new LinkedBlockingQueue<>();
+    /** A raw gRPC stream: the test writes the requests; responses and the closing status are queued. */
+    static final class RawStream<RequestT, ResponseT> implements ClientResponseObserver<RequestT, ResponseT> {
+        final LinkedBlockingQueue<ResponseT> responses = new LinkedBlockingQueue<>();
         final LinkedBlockingQueue<Status> closeStatuses = new LinkedBlockingQueue<>();
-        ClientCallStreamObserver<Q> requests;
+        ClientCallStreamObserver<RequestT> requests;
         private final boolean manualFlowControl;
 
         RawStream(boolean manualFlowControl) {
@@ -108,7 +108,7 @@
         }
 
         @Override
-        public void beforeStart(ClientCallStreamObserver<Q> stream) {
+        public void beforeStart(ClientCallStreamObserver<RequestT> stream) {
             requests = stream;
             if (manualFlowControl) {
                 stream.disableAutoRequestWithInitial(0);
@@ -116,7 +116,7 @@
         }
 
         @Override
-        public void onNext(R response) {
+        public void onNext(ResponseT response) {
             responses.add(response);
         }
 
@@ -130,8 +130,8 @@
             closeStatuses.add(Status.OK);
         }
 
-        R nextResponse() throws InterruptedException {
-            R response = responses.poll(10, TimeUnit.SECONDS);
+        ResponseT nextResponse() throws InterruptedException {
+            ResponseT response = responses.poll(10, TimeUnit.SECONDS);
             if (response == null) {
                 throw new AssertionError("no response; closed: " + closeStatuses.peek());
             }
@@ -172,7 +172,7 @@
 
     @Override
     public void close() throws IOException {
-        startedProxies.forEach(StandInProxy::close);
+        startedProxies.forEach(StubProxy::close);
         channel.shutdownNow();
         service.close();
         fleet.close();
--- a/control/src/test/java/stonelb/control/LoadReportingServiceTest.java
+++ b/control/src/test/java/stonelb/control/LoadReportingServiceTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The end of a stream of load reports. */
+/** Closing of load report streams. */
 class LoadReportingServiceTest {
     private static final class RecordingObserver implements StreamObserver<LoadStatsResponse> {
         private final List<Status.Code> finalStatuses = new ArrayList<>();
@@ -29,9 +29,9 @@
         }
     }
 
-    /** A second final status would be an error of the call: gRPC throws. */
+    /** Detects a second final status on a rejected stream, for which gRPC throws an exception. */
     @Test
-    void rejectedStreamEndsOnceThoughItsProxySendsOn() {
+    void rejectedStreamEndsOnceWhenTheProxyKeepsSending() {
         RecordingObserver responses = new RecordingObserver();
         StreamObserver<LoadStatsRequest> requests = new LoadReportingService(null, 1000).streamLoadStats(responses);
         requests.onNext(LoadStatsRequest.getDefaultInstance());
--- a/control/src/test/java/stonelb/control/ProxylessGrpcTest.java
+++ b/control/src/test/java/stonelb/control/ProxylessGrpcTest.java
@@ -50,16 +50,17 @@
                         .addService(ServerServiceDefinition.builder("stonelb.control.v1.Status")
                                 .addMethod(
                                         StatusService.GET,
-                                        ServerCalls.asyncUnaryCall((Empty e, StreamObserver<Struct> out) -> {
-                                            count.incrementAndGet();
-                                            out.onNext(Struct.getDefaultInstance());
-                                            out.onCompleted();
-                                        }))
+                                        ServerCalls.asyncUnaryCall(
+                                                (Empty request, StreamObserver<Struct> responses) -> {
+                                                    count.incrementAndGet();
+                                                    responses.onNext(Struct.getDefaultInstance());
+                                                    responses.onCompleted();
+                                                }))
                                 .build())
                         .build()
                         .start();
                 backends.add(backend);
-                harness.fleet.addAt("g-" + i, "127.0.0.1:" + backend.getPort());
+                harness.fleet.addExternalServer("g-" + i, "127.0.0.1:" + backend.getPort());
             }
             XdsNameResolverProvider resolverProvider = XdsNameResolverProvider.createForTest(
                     "xds-here",
@@ -77,16 +78,16 @@
             ManagedChannel channel = Grpc.newChannelBuilder("xds-here:///plans", InsecureChannelCredentials.create())
                     .build();
             try {
-                GatewayProcess.until("it resolves and uses all three", () -> {
+                GatewayProcess.awaitCondition("the client uses all three backends", () -> {
                     ClientCalls.blockingUnaryCall(
                             channel,
                             StatusService.GET,
                             CallOptions.DEFAULT.withWaitForReady(),
                             Empty.getDefaultInstance());
-                    return calls.stream().allMatch(c -> c.get() > 0);
+                    return calls.stream().allMatch(callCount -> callCount.get() > 0);
                 });
-                harness.fleet.status("g-1", "terminating");
-                GatewayProcess.until("nothing goes to the draining backend", () -> {
+                harness.fleet.setStatus("g-1", "terminating");
+                GatewayProcess.awaitCondition("the draining backend receives no calls", () -> {
                     int before = calls.get(1).get();
                     for (int i = 0; i < 12; i++) {
                         ClientCalls.blockingUnaryCall(
--- a/control/src/test/java/stonelb/control/QuotaReportTest.java
+++ b/control/src/test/java/stonelb/control/QuotaReportTest.java
@@ -18,7 +18,7 @@
 import stonelb.control.resources.ResourceFactory;
 import stonelb.standins.GatewayProcess;
 
-/** Usage reports on the wire that the control service rejects. */
+/** Usage reports that the control service rejects, sent over real gRPC streams. */
 class QuotaReportTest {
     @TempDir
     Path folder;
@@ -64,9 +64,11 @@
         }
     }
 
-    /** What a proxy had sent before it heard of the rejection does not count, nor does it connect the proxy again. */
+    /**
+     * Reports that a proxy sent before it received the rejection are not counted, and don't mark it as connected again.
+     */
     @Test
-    void reportsBehindAnInvalidOneAreIgnored() throws Exception {
+    void reportsAfterAnInvalidOneAreIgnored() throws Exception {
         try (ControlTestHarness harness = new ControlTestHarness(folder, 1, "")) {
             var stream = openStream(harness, "p");
             stream.requests.onNext(
@@ -77,7 +79,7 @@
                         .build());
             }
             assertEquals(Status.Code.INVALID_ARGUMENT, stream.awaitClose().getCode());
-            GatewayProcess.until("the proxy is disconnected and has not reported", () -> {
+            GatewayProcess.awaitCondition("the proxy is disconnected and has not reported", () -> {
                 String status = AdsTest.StatusJson.read(harness);
                 return !status.contains("\"awayMs\":0,")
                         && status.contains("\"reportAgeMs\":-1,")
--- a/control/src/test/java/stonelb/control/StandInProxyTest.java
+++ b/control/src/test/java/stonelb/control/StubProxyTest.java
@@ -24,44 +24,44 @@
 import org.junit.jupiter.api.io.TempDir;
 import stonelb.follower.ProxyRequest;
 import stonelb.follower.RoutingDecision;
-import stonelb.proxy.StandInProxy;
+import stonelb.proxy.StubProxy;
 import stonelb.standins.StubServer;
-import stonelb.standins.StubServer.HttpText;
+import stonelb.standins.StubServer.HttpMessage;
 
-/** Every request that the stub proxy accepts gets one response, in time. */
-class StandInProxyTest {
+/** Every request that the stub proxy accepts gets exactly one response within its deadline. */
+class StubProxyTest {
     private static final int SOCKET_TIMEOUT_MS = 5000;
     private static final Duration CLIENT_TIMEOUT = Duration.ofSeconds(10);
 
     @TempDir
     Path folder;
 
-    /** A control service and a proxy with one endpoint, which the test plays. */
-    private ControlTestHarness harness(StubServer endpoint) throws Exception {
+    /** Starts a control service whose only endpoint is the given stub. */
+    private ControlTestHarness startHarness(StubServer endpoint) throws Exception {
         ControlTestHarness harness = new ControlTestHarness(folder, 0, "");
-        harness.fleet.addAt("played", endpoint.address());
+        harness.fleet.addExternalServer("played", endpoint.address());
         return harness;
     }
 
-    private static StubServer answering(LinkedBlockingQueue<HttpText> received) throws IOException {
+    private static StubServer respondingEndpoint(LinkedBlockingQueue<HttpMessage> received) throws IOException {
         return new StubServer((in, out) -> {
             while (true) {
-                received.add(StubServer.http(in));
-                StubServer.write(out, StubServer.httpAnswer(200, "", "answer"));
+                received.add(StubServer.readHttp(in));
+                StubServer.write(out, StubServer.httpResponse(200, "", "answer"));
             }
         });
     }
 
-    private static HttpText exchange(StandInProxy proxy, String request) throws IOException {
+    private static HttpMessage exchange(StubProxy proxy, String request) throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), proxy.port())) {
             socket.setSoTimeout(SOCKET_TIMEOUT_MS);
             StubServer.write(socket.getOutputStream(), request);
             InputStream in = new BufferedInputStream(socket.getInputStream());
-            return StubServer.http(in);
+            return StubServer.readHttp(in);
         }
     }
 
-    private static HttpResponse<String> get(StandInProxy proxy, String timeLeftMs) throws Exception {
+    private static HttpResponse<String> get(StubProxy proxy, String timeLeftMs) throws Exception {
         HttpRequest request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + proxy.port() + "/v1/plans/7"))
                 .header("X-Customer", "a1")
                 .header("X-Plan", "red")
@@ -73,11 +73,11 @@
 
     @Test
     void requestInAbsoluteFormIsForwarded() throws Exception {
-        LinkedBlockingQueue<HttpText> received = new LinkedBlockingQueue<>();
-        try (StubServer endpoint = answering(received);
-                ControlTestHarness harness = harness(endpoint)) {
-            StandInProxy proxy = harness.startProxy("p", true);
-            HttpText response = exchange(
+        LinkedBlockingQueue<HttpMessage> received = new LinkedBlockingQueue<>();
+        try (StubServer endpoint = respondingEndpoint(received);
+                ControlTestHarness harness = startHarness(endpoint)) {
+            StubProxy proxy = harness.startProxy("p", true);
+            HttpMessage response = exchange(
                     proxy,
                     "GET http://plans/v1/plans/7?a=b HTTP/1.1\r\nHost: plans\r\nX-Plan: red\r\nX-Customer: a1\r\n\r\n");
             assertEquals(200, response.status());
@@ -86,76 +86,83 @@
     }
 
     @Test
-    void requestThatCanNotBeForwardedIsRejected() throws Exception {
-        LinkedBlockingQueue<HttpText> received = new LinkedBlockingQueue<>();
-        try (StubServer endpoint = answering(received);
-                ControlTestHarness harness = harness(endpoint)) {
-            StandInProxy proxy = harness.startProxy("p", true);
-            HttpText response = exchange(
+    void requestWithInvalidHeaderIsRejected() throws Exception {
+        LinkedBlockingQueue<HttpMessage> received = new LinkedBlockingQueue<>();
+        try (StubServer endpoint = respondingEndpoint(received);
+                ControlTestHarness harness = startHarness(endpoint)) {
+            StubProxy proxy = harness.startProxy("p", true);
+            HttpMessage response = exchange(
                     proxy,
                     "GET /v1/plans/7 HTTP/1.1\r\nHost: plans\r\nX-Plan: red\r\nX-Customer: a1\r\nX-Odd: a\u0001b\r\n\r\n");
             assertEquals(400, response.status());
-            assertTrue(received.isEmpty(), "no attempt was made");
+            assertTrue(received.isEmpty(), "an attempt was made");
             assertEquals(200, harness.sendRequest(proxy, "a1", "red"));
         }
     }
 
     @Test
     void responseWhoseBodyStallsEndsAtTheTimeLimit() throws Exception {
-        try (StubServer endpoint = new StubServer(StandInProxyTest::stallInBody);
-                ControlTestHarness harness = harness(endpoint)) {
-            StandInProxy proxy = harness.startProxy("p", true);
+        try (StubServer endpoint = new StubServer(StubProxyTest::stallInBody);
+                ControlTestHarness harness = startHarness(endpoint)) {
+            StubProxy proxy = harness.startProxy("p", true);
             assertEquals(504, get(proxy, "60000").statusCode());
         }
     }
 
     private static void stallInBody(InputStream in, OutputStream out) throws IOException {
-        StubServer.http(in);
+        StubServer.readHttp(in);
         StubServer.write(out, "HTTP/1.1 200 X\r\nContent-Length: 10\r\n\r\nhalf");
-        StubServer.http(in); // until the proxy closes the connection
+        StubServer.readHttp(in); // until the proxy closes the connection
     }
 
-    /** The first attempt takes a while and fails; the second is told what is left then. */
+    /**
+     * The first attempt fails after a delay; the second has to carry the time that is left then, not the original time.
+     */
     @Test
-    void endpointIsToldWhatTheClientHasLeft() throws Exception {
-        int clientHasMs = 900;
-        int firstAttemptMs = 200;
+    void attemptCarriesTheRemainingTimeOfTheClient() throws Exception {
+        int clientTimeLeftMs = 900;
+        int firstAttemptDurationMs = 200;
         LinkedBlockingQueue<Map<String, String>> received = new LinkedBlockingQueue<>();
         StubServer.ConnectionHandler failingFirst = (in, out) -> {
             while (true) {
-                received.add(StubServer.http(in).headers());
+                received.add(StubServer.readHttp(in).headers());
                 boolean first = received.size() == 1;
                 if (first) {
-                    Thread.sleep(firstAttemptMs);
+                    Thread.sleep(firstAttemptDurationMs);
                 }
-                StubServer.write(out, StubServer.httpAnswer(first ? 500 : 200, "", "answer"));
+                StubServer.write(out, StubServer.httpResponse(first ? 500 : 200, "", "answer"));
             }
         };
         try (StubServer endpoint = new StubServer(failingFirst);
-                ControlTestHarness harness = harness(endpoint)) {
-            StandInProxy proxy = harness.startProxy("p", true);
-            assertEquals(200, get(proxy, Integer.toString(clientHasMs)).statusCode());
-            int firstMs = Integer.parseInt(received.take().get("x-time-left-ms"));
-            int secondMs = Integer.parseInt(received.take().get("x-time-left-ms"));
-            assertTrue(firstMs >= 1 && firstMs <= clientHasMs, "first " + firstMs);
-            assertTrue(secondMs >= 1 && secondMs <= clientHasMs - firstAttemptMs, "second " + secondMs);
+                ControlTestHarness harness = startHarness(endpoint)) {
+            StubProxy proxy = harness.startProxy("p", true);
+            assertEquals(200, get(proxy, Integer.toString(clientTimeLeftMs)).statusCode());
+            int firstTimeLeftMs = Integer.parseInt(received.take().get("x-time-left-ms"));
+            int secondTimeLeftMs = Integer.parseInt(received.take().get("x-time-left-ms"));
+            assertTrue(firstTimeLeftMs >= 1 && firstTimeLeftMs <= clientTimeLeftMs, "first " + firstTimeLeftMs);
+            assertTrue(
+                    secondTimeLeftMs >= 1 && secondTimeLeftMs <= clientTimeLeftMs - firstAttemptDurationMs,
+                    "second " + secondTimeLeftMs);
         }
     }
 
-    /** Without a service there is no assignment: requests are decided at the end of their wait, by the client's timer. */
+    /**
+     * Without a control service no assignment arrives, so the client's timer decides each request when its wait ends.
+     * An exception from one callback must not stop the timer from deciding the others.
+     */
     @Test
-    void callbackThatThrowsKeepsNoOtherRequestFromItsDecision() throws Exception {
-        try (StubServer endpoint = answering(new LinkedBlockingQueue<>());
-                ControlTestHarness harness = harness(endpoint)) {
-            StandInProxy proxy = harness.startProxy("p", true);
+    void throwingCallbackDoesNotBlockOtherDecisions() throws Exception {
+        try (StubServer endpoint = respondingEndpoint(new LinkedBlockingQueue<>());
+                ControlTestHarness harness = startHarness(endpoint)) {
+            StubProxy proxy = harness.startProxy("p", true);
             harness.service.close();
             ProxyRequest request = new ProxyRequest(
                     "GET", "/v1/plans/7", Map.of(":method", "GET", "x-customer", "a1", "x-plan", "consulta"));
-            proxy.follower().decide(request, decision -> {
-                throw new IllegalStateException("planted");
+            proxy.controlClient().decide(request, decision -> {
+                throw new IllegalStateException("thrown by the test");
             });
             CompletableFuture<RoutingDecision> decision = new CompletableFuture<>();
-            proxy.follower().decide(request, decision::complete);
+            proxy.controlClient().decide(request, decision::complete);
             assertNotNull(decision.get(5, TimeUnit.SECONDS));
         }
     }
--- a/control/src/test/java/stonelb/control/TlsTest.java
+++ b/control/src/test/java/stonelb/control/TlsTest.java
@@ -29,10 +29,10 @@
 import stonelb.config.InvalidConfigurationException;
 import stonelb.control.xds.ResourceType;
 import stonelb.follower.ClientOptions;
-import stonelb.proxy.StandInProxy;
+import stonelb.proxy.StubProxy;
 import stonelb.standins.GatewayProcess;
 
-/** Mutual TLS: a certificate decides for which node its holder may speak. */
+/** Mutual TLS: the certificate determines which node its holder may act as. */
 class TlsTest {
     private static final String PASSWORD = "changeit";
 
@@ -182,9 +182,10 @@
     @Timeout(60)
     void certificateIsValidForItsOwnNodeOnly() throws Exception {
         try (ControlTestHarness harness = new ControlTestHarness(folder, 2, tlsSettings())) {
-            try (StandInProxy proxy = new StandInProxy(
+            try (StubProxy proxy = new StubProxy(
                     new ClientOptions("p-1", "127.0.0.1", harness.service.port(), true, clientTls("p-1"), 50), 0)) {
-                GatewayProcess.until("it is registered", () -> proxy.follower().ready());
+                GatewayProcess.awaitCondition(
+                        "the proxy is registered", () -> proxy.controlClient().isReady());
                 assertEquals(200, harness.sendRequest(proxy, "aa", "red"));
             }
             assertEquals(
@@ -195,7 +196,10 @@
         }
     }
 
-    /** After the list of authorities is replaced, certificates of the new one are accepted and others are not. */
+    /**
+     * After the list of authorities is replaced, certificates of the new authority are accepted and those of the old
+     * one are not.
+     */
     @Test
     @Timeout(60)
     void replacedAuthoritiesAreReloaded() throws Exception {
@@ -210,7 +214,7 @@
             Path replacement = folder.resolve("next.pem");
             Files.copy(folder.resolve("other.pem"), replacement);
             Files.move(replacement, authorities, StandardCopyOption.REPLACE_EXISTING);
-            GatewayProcess.until(
+            GatewayProcess.awaitCondition(
                     "certificates of the new authority are accepted",
                     () -> closeStatus(harness, "q-1", "p-1").getCode() == Status.Code.PERMISSION_DENIED);
             assertEquals(
@@ -218,7 +222,9 @@
         }
     }
 
-    /** The two files are replaced one after the other, so a new certificate may be read with the old key. */
+    /**
+     * Certificate and key files are replaced one after the other, so a new certificate may be read with the old key.
+     */
     @Test
     void keyOfAnotherCertificateIsRejected() {
         ControlSettings.Tls files = new ControlSettings.Tls(
--- a/control/src/test/java/stonelb/control/quota/DirectGateway.java
+++ b/control/src/test/java/stonelb/control/quota/DirectGateway.java
@@ -12,7 +12,9 @@
 import stonelb.decision.EndpointListType;
 import stonelb.decision.Outcome;
 
-/** A gateway that serves the same traffic as a proxy directly: a decision engine, and endpoints that answer in 40 ms. */
+/**
+ * A gateway that serves the same traffic as a proxy directly: a decision engine, and endpoints that respond in 40 ms.
+ */
 final class DirectGateway implements DecisionActions {
     private static final double LATENCY_MS = 40;
     private static final double DEADLINE_MS = 4000;
@@ -54,13 +56,13 @@
                         false));
     }
 
-    /** How many requests it forwarded. */
+    /** The number of forwarded requests. */
     long forwarded() {
         return forwarded;
     }
 
     @Override
-    public void forward(long id, long endpoint, double patienceMs) {
+    public void forward(long id, long endpoint, double timeoutMs) {
         forwarded++;
         AttemptResult result = new AttemptResult(id, 0, endpoint, Outcome.OK, LATENCY_MS, true, 0);
         timers.scheduleAfter(LATENCY_MS, (now, token) -> engine.attemptEnded(now, result), 0);
@@ -81,8 +83,8 @@
     }
 
     @Override
-    public void addToCounter(long name, double amount, double keepMs) {
-        counter.add(engine, name, amount, keepMs);
+    public void addToCounter(long name, double amount, double retentionMs) {
+        counter.add(engine, name, amount, retentionMs);
     }
 
     @Override
--- a/control/src/test/java/stonelb/control/quota/EmulatedProxy.java
+++ b/control/src/test/java/stonelb/control/quota/EmulatedProxy.java
@@ -1,13 +1,13 @@
 package stonelb.control.quota;
 
-/** A proxy as the control service sees it: its credit and its use since the last report. Times in milliseconds. */
+/** An emulated proxy: its credit and its use since the last report. Times in milliseconds. */
 final class EmulatedProxy {
     long credit;
     double expiresAt = Double.NEGATIVE_INFINITY;
     long allowed;
     long denied;
     double reportedAt;
-    double total;
+    double totalSent;
     boolean disconnected;
 
     boolean hasCredit(double now) {
@@ -24,6 +24,6 @@
     void send() {
         credit--;
         allowed++;
-        total++;
+        totalSent++;
     }
 }
--- a/control/src/test/java/stonelb/control/quota/ProxyQuotaTest.java
+++ b/control/src/test/java/stonelb/control/quota/ProxyQuotaTest.java
@@ -20,21 +20,22 @@
 import stonelb.decision.EndpointListType;
 import stonelb.decision.EndpointState;
 
-/** The quotas of proxies on a virtual clock, with a counter and proxies that are emulated exactly. */
+/** Tests the quotas of proxies on a virtual clock, with an emulated counter and emulated proxies. */
 class ProxyQuotaTest {
     private static final int STEPS = 1500;
     private static final double STEP_MS = 20;
     private static final int STEPS_PER_SECOND = 50;
 
     /**
-     * The quota of {@code ms}, with what docs/design/control.md states beyond it: a burst that all start with unasked, a
-     * burst of local shares while the counter is unavailable or its window changes, and one request for each proxy.
+     * The quota of {@code ms}, plus the excess that docs/design/control.md allows: a burst that proxies get without
+     * asking the counter, a burst of local shares while the counter is unavailable or its window changes, and one
+     * request for each proxy.
      */
     private static double maxUnits(double ms) {
         return BURST + RATE * ms / 1000 + 2 * BURST + PROXIES;
     }
 
-    /** Holds after each step of every run below: use and live leases together stay under the quota and its slack. */
+    /** Asserts that use and unexpired leases together stay within the quota and its allowed excess. */
     private static void assertWithinQuota(QuotaSimulation simulation, double startedAt) {
         assertTrue(
                 simulation.sent() + simulation.leasedUnits() <= maxUnits(simulation.now - startedAt),
@@ -50,7 +51,7 @@
         int busyProxy = 0;
         double[] sent = new double[STEPS];
         double[] direct = new double[STEPS];
-        double[] other = new double[STEPS];
+        double[] comparison = new double[STEPS];
         for (int step = 0; step < STEPS; step++) {
             simulation.runFor(STEP_MS);
             if (random.nextInt(100) == 0) {
@@ -68,18 +69,20 @@
             assertWithinQuota(simulation, startedAt);
             sent[step] = simulation.sent();
             direct[step] = simulation.sentDirectly();
-            other[step] = simulation.sentByOthers();
+            comparison[step] = simulation.sentByComparison();
         }
         double difference = maxDifference(direct, sent);
         assertTrue(
                 difference <= 2.5 * BURST,
-                () -> "off by " + difference + " units beyond a second; two direct runs differ by "
-                        + maxDifference(direct, other));
+                () -> "proxies and direct gateways differ by " + difference
+                        + " units beyond a lag of 1 s; two direct runs differ by " + maxDifference(direct, comparison));
         double total = simulation.sent();
-        assertTrue(total > 0.7 * (BURST + RATE * 30), "most of the quota is used where it is asked for: " + total);
+        assertTrue(
+                total > 0.7 * (BURST + RATE * 30),
+                "less than 70 % of the quota was used despite enough demand: " + total);
     }
 
-    /** By how much two courses of totals differ at most, if one may lag or lead the other by a second. */
+    /** The largest difference between two series of totals, where one may lag or lead the other by a second. */
     private static double maxDifference(double[] direct, double[] compared) {
         double difference = 0;
         for (int step = STEPS_PER_SECOND; step + STEPS_PER_SECOND < compared.length; step++) {
@@ -91,7 +94,7 @@
     }
 
     @Test
-    void leaseOfALostProxyIsNotReassignedBeforeItExpires() {
+    void leaseOfDisconnectedProxyIsNotReassignedBeforeItExpires() {
         QuotaSimulation simulation = new QuotaSimulation();
         double startedAt = simulation.now;
         for (int i = 0; i < 40; i++) {
@@ -99,62 +102,69 @@
             simulation.requestArrives(0);
             simulation.requestArrives(1);
         }
-        simulation.runFor(4000); // the burst comes back, so that there is a credit to hold
+        simulation.runFor(4000); // the burst refills, so that the proxy can hold credit
         simulation.requestArrives(0);
         simulation.report(0);
         simulation.runFor(60);
         simulation.proxies.get(0).disconnected = true;
         double assignedUntil = simulation.proxies.get(0).expiresAt;
         double disconnectedAt = simulation.now;
-        ProxyQuota lost = simulation.quotas.get(0);
-        lost.setReachable(false);
-        simulation.runFor(60); // answers of the counter that were on their way
-        double leased = lost.leasedUnits(KEY.customer());
+        ProxyQuota disconnectedQuota = simulation.quotas.get(0);
+        disconnectedQuota.setReachable(false);
+        simulation.runFor(60); // lets pending responses of the counter arrive
+        double leased = disconnectedQuota.leasedUnits(KEY.customer());
         while (simulation.now < disconnectedAt + 10_000) {
             simulation.runFor(50);
             simulation.requestArrives(1);
             simulation.quotas.forEach(ProxyQuota::removeIdle);
             if (simulation.now < assignedUntil) {
-                assertEquals(leased, lost.leasedUnits(KEY.customer()), "its lease stays outstanding");
+                assertEquals(
+                        leased,
+                        disconnectedQuota.leasedUnits(KEY.customer()),
+                        "the lease of the disconnected proxy stays outstanding until it expires");
             }
             assertWithinQuota(simulation, startedAt);
         }
-        assertEquals(0, lost.leasedUnits(KEY.customer()));
-        double sentBefore = simulation.proxies.get(1).total;
-        double directlyBefore = simulation.directGateways.get(1).forwarded();
+        assertEquals(0, disconnectedQuota.leasedUnits(KEY.customer()));
+        double sentBefore = simulation.proxies.get(1).totalSent;
+        double directBefore = simulation.directGateways.get(1).forwarded();
         for (int i = 0; i < 200; i++) {
             simulation.runFor(50);
             simulation.requestArrives(1);
         }
-        double sent = simulation.proxies.get(1).total - sentBefore;
-        double directly = simulation.directGateways.get(1).forwarded() - directlyBefore;
-        assertTrue(sent >= 0.7 * directly, "the others have the quota: " + sent + " of " + directly);
+        double sent = simulation.proxies.get(1).totalSent - sentBefore;
+        double direct = simulation.directGateways.get(1).forwarded() - directBefore;
+        assertTrue(
+                sent >= 0.7 * direct,
+                "connected proxy gets too little of the released quota: " + sent + " of " + direct);
     }
 
     @Test
-    void silentCounterLeavesEachProxyItsLocalShare() {
+    void unresponsiveCounterLimitsProxiesToTheirLocalShares() {
         QuotaSimulation simulation = new QuotaSimulation();
-        Runnable assertAsDirect = () -> assertTrue(
+        Runnable assertNotAboveDirect = () -> assertTrue(
                 simulation.sent() + simulation.leasedUnits() <= simulation.sentDirectly() + BURST + PROXIES,
                 () -> "sent " + simulation.sent() + " leased " + simulation.leasedUnits() + " directly "
                         + simulation.sentDirectly() + " at " + simulation.now);
-        simulation.counterSilent = true;
-        simulation.traffic(600, assertAsDirect);
-        assertTrue(simulation.sent() >= BURST / 2, "something goes on: " + simulation.sent());
-        simulation.counterSilent = false;
-        simulation.traffic(600, assertAsDirect);
+        simulation.counterUnresponsive = true;
+        simulation.traffic(600, assertNotAboveDirect);
+        assertTrue(
+                simulation.sent() >= BURST / 2,
+                "proxies sent less than half a burst without the counter: " + simulation.sent());
+        simulation.counterUnresponsive = false;
+        simulation.traffic(600, assertNotAboveDirect);
     }
 
-    /** After a machine slept, or its clock was set forward, leases are over and the quota of the gap is not granted. */
+    /** After the machine was suspended or its clock set forward, leases have expired and the gap adds no quota. */
     @Test
-    void clockJumpLeavesAtMostOneBurst() {
+    void clockJumpGrantsAtMostOneBurst() {
         QuotaSimulation simulation = new QuotaSimulation();
         double startedAt = simulation.now;
         simulation.traffic(200, () -> assertWithinQuota(simulation, startedAt));
         simulation.now += 3_600_000;
         double jumpedAt = simulation.now;
         double sentBefore = simulation.sent();
-        double directlyBefore = simulation.sentDirectly();
+        double directBefore = simulation.sentDirectly();
         simulation.traffic(
                 300,
                 () -> assertTrue(
@@ -163,8 +173,9 @@
                         () -> "sent " + (simulation.sent() - sentBefore) + " leased " + simulation.leasedUnits()
                                 + " after " + (simulation.now - jumpedAt)));
         double sent = simulation.sent() - sentBefore;
-        double directly = simulation.sentDirectly() - directlyBefore;
-        assertTrue(sent >= directly / 2, "the quota goes on: " + sent + ", directly " + directly);
+        double direct = simulation.sentDirectly() - directBefore;
+        assertTrue(
+                sent >= direct / 2, "quota is not granted after the clock jump: sent " + sent + ", directly " + direct);
     }
 
     @Test
@@ -177,16 +188,15 @@
         assertNotNull(quota.usageReported(KEY, -1, 0, 100));
         assertNotNull(quota.usageReported(KEY, 5, -7, 100));
         assertNotNull(quota.usageReported(KEY, 1, 0, -5));
-        assertEquals(
-                granted, quota.bucketStatuses().get(0).granted(), "nothing is granted for a report that is rejected");
+        assertEquals(granted, quota.bucketStatuses().get(0).granted(), "a rejected report must not grant credit");
         assertNotNull(quota.usageReported(KEY, 1L << 40, 0, 100));
         long used = quota.bucketStatuses().get(0).used();
-        assertTrue(used <= granted + 2 * BURST, "an absurd count is limited to a burst: " + used);
+        assertTrue(used <= granted + 2 * BURST, "an implausibly large count exceeds the limit of a burst: " + used);
         for (int i = 0; i < 50; i++) {
-            quota.usageReported(KEY, 2, 0, 1000); // the same report, fifty times in no time
+            quota.usageReported(KEY, 2, 0, 1000); // the same report 50 times without any time passing
         }
         int implausible = simulation.implausibleReports.size();
-        assertTrue(implausible >= 40, "they are passed on: " + implausible);
+        assertTrue(implausible >= 40, "too few of the duplicate reports were passed to the callback: " + implausible);
         BucketStatus status = quota.bucketStatuses().get(0);
         assertTrue(status.used() <= Math.max(used, status.granted()) + 2 * BURST);
     }
@@ -205,7 +215,7 @@
     }
 
     @Test
-    void weightsFollowTheChoicesOfTheEngineAndAColdEndpointStartsLow() {
+    void weightsFollowEngineChoicesAndColdEndpointStartsLow() {
         QuotaSimulation simulation = new QuotaSimulation();
         ProxyQuota quota = simulation.quotas.get(0);
         for (int i = 0; i < 300; i++) {
@@ -219,14 +229,15 @@
             }
         }
         Map<Long, Integer> weights = quota.weights();
-        assertTrue(weights.get(3L) < 0.7 * weights.get(1L), "the slow endpoint gets less: " + weights);
+        assertTrue(weights.get(3L) < 0.7 * weights.get(1L), "the slow endpoint has too much weight: " + weights);
         quota.endpointsChanged(
                 EndpointListType.DELTA,
                 List.of(
                         new Endpoint(9, EndpointState.READY, simulation.now, 1, 0, 0),
                         new Endpoint(2, EndpointState.DRAINING, 0, 1, 0, 0)));
         weights = quota.weights();
-        assertTrue(weights.get(9L) <= 0.4 * weights.get(1L), "the cold endpoint starts low: " + weights);
-        assertTrue(!weights.containsKey(2L), "a draining endpoint has none");
+        assertTrue(
+                weights.get(9L) <= 0.4 * weights.get(1L), "the endpoint in slow start has too much weight: " + weights);
+        assertTrue(!weights.containsKey(2L), "a draining endpoint must have no weight");
     }
 }
--- a/control/src/test/java/stonelb/control/quota/QuotaSimulation.java
+++ b/control/src/test/java/stonelb/control/quota/QuotaSimulation.java
@@ -53,12 +53,12 @@
     final List<EmulatedProxy> proxies = new ArrayList<>();
     final List<DirectGateway> directGateways = new ArrayList<>();
 
-    /** The same again with other random numbers, to tell how far runs of the engine differ by themselves. */
-    final List<DirectGateway> otherGateways = new ArrayList<>();
+    /** Gateways with other random seeds, to measure how far runs of the engine differ by chance. */
+    final List<DirectGateway> comparisonGateways = new ArrayList<>();
 
     final List<String> implausibleReports = new ArrayList<>();
     double now = 1000;
-    boolean counterSilent;
+    boolean counterUnresponsive;
 
     private final TimerQueue timers = new TimerQueue(this);
     private final ThrottledCustomers throttledCustomers = new ThrottledCustomers();
@@ -67,25 +67,25 @@
 
     QuotaSimulation() {
         CounterMultiplexer directCounter = new EmulatedCounter().multiplexer;
-        CounterMultiplexer otherCounter = new EmulatedCounter().multiplexer;
+        CounterMultiplexer comparisonCounter = new EmulatedCounter().multiplexer;
         List<Endpoint> endpoints = endpoints();
         for (int i = 0; i < PROXIES; i++) {
-            join(i);
+            addProxy(i);
             directGateways.add(new DirectGateway(timers, SETTINGS, KEY, directCounter, 42 + i, endpoints));
-            otherGateways.add(new DirectGateway(timers, SETTINGS, KEY, otherCounter, 4200 + i, endpoints));
+            comparisonGateways.add(new DirectGateway(timers, SETTINGS, KEY, comparisonCounter, 4200 + i, endpoints));
         }
     }
 
-    /** A quota counter that answers after 2 ms, or times out after 50 ms while it is silent. */
+    /** A quota counter that responds after 2 ms, or times out after 50 ms while it is unresponsive. */
     private final class EmulatedCounter {
         private final Map<Long, Double> totals = new HashMap<>();
         private final CounterMultiplexer multiplexer = new CounterMultiplexer(this::add);
 
-        private void add(long name, double amount, double keepMs) {
-            boolean lost = counterSilent;
-            double total = lost ? 0 : totals.merge(name, amount, Double::sum);
-            double latencyMs = lost ? COUNTER_TIMEOUT_MS : COUNTER_LATENCY_MS;
-            Outcome outcome = lost ? Outcome.TIMEOUT : Outcome.OK;
+        private void add(long name, double amount, double expiryMs) {
+            boolean unresponsive = counterUnresponsive;
+            double total = unresponsive ? 0 : totals.merge(name, amount, Double::sum);
+            double latencyMs = unresponsive ? COUNTER_TIMEOUT_MS : COUNTER_LATENCY_MS;
+            Outcome outcome = unresponsive ? Outcome.TIMEOUT : Outcome.OK;
             timers.scheduleAfter(
                     latencyMs,
                     (answeredAt, token) -> multiplexer.counterAnswered(answeredAt, name, outcome, latencyMs, total),
@@ -101,7 +101,7 @@
         return endpoints;
     }
 
-    private void join(int index) {
+    private void addProxy(int index) {
         EmulatedProxy proxy = new EmulatedProxy();
         ProxyQuota quota = new ProxyQuota(
                 "p" + index,
@@ -119,19 +119,19 @@
         proxies.add(proxy);
     }
 
-    /** The service restarts: new quotas with the same counter, for proxies that keep their leases and their counts. */
+    /** Restarts the service: new quotas with the same counter, for proxies that keep their leases and their counts. */
     void restartService() {
         List<EmulatedProxy> previous = List.copyOf(proxies);
         quotas.forEach(ProxyQuota::close);
         quotas.clear();
         proxies.clear();
         for (int i = 0; i < PROXIES; i++) {
-            join(i);
+            addProxy(i);
             EmulatedProxy proxy = proxies.get(i);
             proxy.credit = previous.get(i).credit;
             proxy.expiresAt = previous.get(i).expiresAt;
             proxy.allowed = previous.get(i).allowed;
-            proxy.total = previous.get(i).total;
+            proxy.totalSent = previous.get(i).totalSent;
             proxy.reportedAt = now;
         }
     }
@@ -156,11 +156,11 @@
         now = end;
     }
 
-    /** A request arrives at a proxy, and at its gateways. Without credit the proxy reports at once and tries again. */
+    /** A request arrives at a proxy and at its gateways. Without credit the proxy reports at once and retries. */
     void requestArrives(int index) {
         EmulatedProxy proxy = proxies.get(index);
         directGateways.get(index).requestArrives();
-        otherGateways.get(index).requestArrives();
+        comparisonGateways.get(index).requestArrives();
         if (!proxy.hasCredit(now)) {
             proxy.denied++;
             report(index);
@@ -193,9 +193,9 @@
         }
     }
 
-    /** Requests that proxies let through. */
+    /** Requests that proxies allowed. */
     double sent() {
-        return proxies.stream().mapToDouble(proxy -> proxy.total).sum();
+        return proxies.stream().mapToDouble(proxy -> proxy.totalSent).sum();
     }
 
     /** Requests that the gateways forwarded. */
@@ -203,16 +203,16 @@
         return forwarded(directGateways);
     }
 
-    /** Requests that the gateways with other random numbers forwarded. */
-    double sentByOthers() {
-        return forwarded(otherGateways);
+    /** Requests that the gateways with other random seeds forwarded. */
+    double sentByComparison() {
+        return forwarded(comparisonGateways);
     }
 
     private static double forwarded(List<DirectGateway> gateways) {
         return gateways.stream().mapToDouble(DirectGateway::forwarded).sum();
     }
 
-    /** Units that live leases still allow. */
+    /** Units that unexpired leases still allow. */
     double leasedUnits() {
         return quotas.stream()
                 .mapToDouble(quota -> quota.leasedUnits(KEY.customer()))
--- a/control/src/test/java/stonelb/control/xds/SubscriptionTest.java
+++ b/control/src/test/java/stonelb/control/xds/SubscriptionTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** What a subscription has to send after any order of requests, ACKs, NACKs and changes. */
+/** Tests the updates of a subscription after requests, ACKs, NACKs and changes in different orders. */
 class SubscriptionTest {
 
     private static Map<String, VersionedMessage> resources(String... namesAndContents) {
@@ -63,7 +63,7 @@
         incremental.requestReceived(List.of("a", "later"), List.of(), Map.of());
         ResourceUpdate first = incremental.incrementalUpdate(resources("a", "1"), false);
         assertEquals(Set.of("a"), first.resources().keySet());
-        assertEquals(List.of("later"), first.removed(), "missing names are reported");
+        assertEquals(List.of("later"), first.removed(), "names that do not exist are reported as removed");
         assertEquals(
                 Set.of("later"),
                 incremental
@@ -83,11 +83,13 @@
                         .resources()
                         .size());
         stateOfTheWorld.requestReceived(List.of("a"), "");
-        assertNull(stateOfTheWorld.stateOfTheWorldUpdate(resources("a", "1", "b", "1"), false), "it holds a already");
+        assertNull(
+                stateOfTheWorld.stateOfTheWorldUpdate(resources("a", "1", "b", "1"), false),
+                "the client already has a");
         stateOfTheWorld.requestReceived(List.of(), "");
         assertNull(
                 stateOfTheWorld.stateOfTheWorldUpdate(resources("a", "2", "b", "2"), false),
-                "it has unsubscribed from all");
+                "the client has unsubscribed from all");
         stateOfTheWorld.requestReceived(List.of("*"), "");
         assertEquals(
                 2,
@@ -112,7 +114,9 @@
         first.stateOfTheWorldUpdate(current, false);
         Subscription reconnected = new Subscription(ResourceType.CLUSTER);
         reconnected.requestReceived(List.of(), first.version(current));
-        assertNull(reconnected.stateOfTheWorldUpdate(current, false), "the version it names is of the same content");
+        assertNull(
+                reconnected.stateOfTheWorldUpdate(current, false),
+                "the version that the client names has the same content");
         Subscription stale = new Subscription(ResourceType.CLUSTER);
         stale.requestReceived(List.of(), first.version(current));
         assertNotNull(stale.stateOfTheWorldUpdate(resources("a", "1", "b", "3"), false));
@@ -130,7 +134,10 @@
         assertNotNull(incremental.incrementalUpdate(resources("a", "1"), true));
     }
 
-    /** In any order of subscribing, unsubscribing, changes and responses a client ends up with what it subscribes to. */
+    /**
+     * In any order of subscribing, unsubscribing, changes and responses a client gets the current resources it
+     * subscribes to.
+     */
     @Property(tries = 400, seed = "20262")
     void bothVariantsConvergeAndSendNothingTwice(@ForAll long seed) {
         Random random = new Random(seed);
@@ -173,14 +180,16 @@
                 if (stateOfTheWorldUpdate != null) {
                     stateOfTheWorldUpdate
                             .resources()
-                            .forEach((subscribedName, v) -> heldByStateOfTheWorld.put(subscribedName, v.version()));
+                            .forEach((subscribedName, resource) ->
+                                    heldByStateOfTheWorld.put(subscribedName, resource.version()));
                 }
                 ResourceUpdate incrementalUpdate = incremental.incrementalUpdate(current, false);
                 if (incrementalUpdate != null) {
                     incrementalUpdate.removed().forEach(heldByIncremental::remove);
                     incrementalUpdate
                             .resources()
-                            .forEach((subscribedName, v) -> heldByIncremental.put(subscribedName, v.version()));
+                            .forEach((subscribedName, resource) ->
+                                    heldByIncremental.put(subscribedName, resource.version()));
                 }
                 Map<String, String> expected = new TreeMap<>();
                 for (String subscribedName : names) {
@@ -189,12 +198,12 @@
                     }
                 }
                 assertEquals(expected, heldByIncremental);
-                // State of the world cannot report that endpoints are gone: a client keeps those.
+                // State of the world can't report that endpoints were removed, so a client keeps them.
                 Map<String, String> stillExpected = new TreeMap<>(heldByStateOfTheWorld);
                 stillExpected.keySet().retainAll(expected.keySet());
                 assertEquals(expected, stillExpected);
-                assertNull(stateOfTheWorld.stateOfTheWorldUpdate(current, false), "answered twice");
-                assertNull(incremental.incrementalUpdate(current, false), "answered twice");
+                assertNull(stateOfTheWorld.stateOfTheWorldUpdate(current, false), "the same update was sent twice");
+                assertNull(incremental.incrementalUpdate(current, false), "the same update was sent twice");
             }
         }
     }
--- a/core/src/main/java/stonelb/config/Configuration.java
+++ b/core/src/main/java/stonelb/config/Configuration.java
@@ -19,10 +19,10 @@
  * The configuration of a gateway, from its environment and its configuration file.
  *
  * @param name of the gateway in log lines
- * @param listen where clients connect
+ * @param listen address on which the gateway listens for clients
  * @param discovery address of the discovery service
  * @param counter address of the quota counter, null for none
- * @param seed of random choices
+ * @param seed of the decision engine's random numbers
  * @param maxSockets limit of the open connections
  * @param cachedEndpoints the endpoint list that was in use before this process started, null for none
  * @param settings of the decision engine
@@ -51,17 +51,17 @@
         int connectTimeoutMs,
         int maxOpenRequests) {
     private static final String FILE_VARIABLE = "PROXY_CONFIG";
-    private static final String NO_VARIABLE = "";
+    private static final String NO_ENVIRONMENT_VARIABLE = "";
     private static final int SEED_RADIX = 16;
     private static final int DEFAULT_MAX_SOCKETS = 1024;
     private static final double DEFAULT_IDLE_TIMEOUT_MS = 30_000;
     private static final int DEFAULT_CONNECT_TIMEOUT_MS = 250;
     private static final int DEFAULT_MAX_OPEN_REQUESTS = 20_000;
     private static final int MAX_PORT = 0xffff;
-    private static final int MAX_IPV4_PART = 0xff;
+    private static final int MAX_IPV4_OCTET = 0xff;
 
     /**
-     * Reads the file that the environment names.
+     * Reads the configuration file that the environment variable {@code PROXY_CONFIG} names.
      *
      * @throws InvalidConfigurationException if there is no such file, or if it is not valid
      */
@@ -96,13 +96,13 @@
         List<String> classes = entryNames(settingsJson, "categories");
         List<String> plans = entryNames(settingsJson, "tiersOfService");
         if (classes.isEmpty() || plans.isEmpty()) {
-            throw new InvalidConfigurationException("the settings name no class or no plan");
+            throw new InvalidConfigurationException("the settings contain no request class or no plan");
         }
         List<Double> deadlinesMs = deadlinesMs(settingsJson);
         List<String> zones = new ArrayList<>();
         JsonValues.array(settingsJson, "azs").forEach(zone -> zones.add(zone.getAsString()));
         JsonObject limits = JsonValues.object(settingsJson, "allowed");
-        String seed = textOrEnvironment(root, environment, "seed", NO_VARIABLE, "0");
+        String seed = textOrEnvironment(root, environment, "seed", NO_ENVIRONMENT_VARIABLE, "0");
         return new Configuration(
                 textOrEnvironment(root, environment, "name", "PROXY_NAME", "gateway"),
                 address("listen", textOrEnvironment(root, environment, "listen", "PROXY_LISTEN", null)),
@@ -142,7 +142,7 @@
     /**
      * Parses an address of the form {@code host:port}. The host must be an IP address, since names are not resolved.
      *
-     * @param setting named in the error message
+     * @param setting name of the setting, for the error message
      * @throws InvalidConfigurationException if the text is not such an address, or null
      */
     public static InetSocketAddress address(String setting, String text) throws InvalidConfigurationException {
@@ -163,7 +163,7 @@
             return host.matches("\\[[0-9a-fA-F:.]+]");
         }
         return host.matches("\\d{1,3}(\\.\\d{1,3}){3}")
-                && Arrays.stream(host.split("\\.")).allMatch(part -> Integer.parseInt(part) <= MAX_IPV4_PART);
+                && Arrays.stream(host.split("\\.")).allMatch(octet -> Integer.parseInt(octet) <= MAX_IPV4_OCTET);
     }
 
     private static List<String> entryNames(JsonObject settingsJson, String key) throws InvalidConfigurationException {
--- a/core/src/main/java/stonelb/config/InvalidConfigurationException.java
+++ b/core/src/main/java/stonelb/config/InvalidConfigurationException.java
@@ -1,6 +1,6 @@
 package stonelb.config;
 
-/** A configuration that is not valid; the message says in one sentence what is wrong. */
+/** Thrown if a configuration is not valid; the message states the reason in one sentence. */
 public final class InvalidConfigurationException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/core/src/main/java/stonelb/config/JsonValues.java
+++ b/core/src/main/java/stonelb/config/JsonValues.java
@@ -5,8 +5,8 @@
 import com.google.gson.JsonObject;
 
 /**
- * Members of JSON objects, with a default for those that are absent or null. A member of another type makes Gson throw an
- * {@link IllegalStateException}, {@link UnsupportedOperationException}, {@link ClassCastException} or {@link
+ * Reads members of JSON objects, with a default for those that are absent or null. A member of another type makes Gson
+ * throw an {@link IllegalStateException}, {@link UnsupportedOperationException}, {@link ClassCastException} or {@link
  * NumberFormatException}.
  */
 public final class JsonValues {
--- a/core/src/main/java/stonelb/core/Attempt.java
+++ b/core/src/main/java/stonelb/core/Attempt.java
@@ -11,7 +11,7 @@
     private final double startedAt;
     private final double deadline;
 
-    /** Its result is known; the two fields below hold it. */
+    /** Whether the result is known; {@link #outcome} and {@link #response} then hold it. */
     boolean finished;
 
     Outcome outcome;
@@ -36,12 +36,12 @@
         this.deadline = deadline;
     }
 
-    /** The request that it serves. */
+    /** The request that this attempt belongs to. */
     public ClientRequest request() {
         return request;
     }
 
-    /** Whether the request may run again where the result of this attempt stays unknown. */
+    /** Whether the request may be executed again if the result of this attempt is unknown. */
     public boolean isIdempotent() {
         return requestTable.isIdempotent(request);
     }
@@ -51,7 +51,7 @@
         return number;
     }
 
-    /** The number of the endpoint. */
+    /** The id of the endpoint. */
     public long endpoint() {
         return endpoint;
     }
@@ -66,14 +66,14 @@
         return deadline;
     }
 
-    /** The connection that carries it, for the use of the endpoint connector alone; null for none. */
+    /** The connection on which it is sent, or null; used only by the endpoint connector. */
     public Object connection() {
         return connection;
     }
 
     /** Sets {@link #connection()}. */
-    public void connection(Object carrier) {
-        connection = carrier;
+    public void connection(Object newConnection) {
+        connection = newConnection;
     }
 
     @Override
--- a/core/src/main/java/stonelb/core/ClientRequest.java
+++ b/core/src/main/java/stonelb/core/ClientRequest.java
@@ -1,13 +1,13 @@
 package stonelb.core;
 
 /**
- * One request of a client, from its arrival to its one final response. Frontends extend it with what their protocol needs
- * to write that response.
+ * A client request, from its arrival to its single final response. Frontends extend it with the protocol-specific code
+ * that writes that response.
  */
 public abstract class ClientRequest {
     private final RequestAttributes attributes;
 
-    /** Its number in the request table. */
+    /** Its id in the request table. */
     long id;
 
     int attemptsStarted;
@@ -22,7 +22,7 @@
         this.attributes = attributes;
     }
 
-    /** What the frontend read from the request. */
+    /** The attributes that the frontend parsed from the request. */
     public final RequestAttributes attributes() {
         return attributes;
     }
@@ -33,19 +33,19 @@
     }
 
     /**
-     * Whether a disconnect of its client would be noticed now. Where it may go unnoticed, as while the client's input is
-     * not read, no attempt is started.
+     * Whether a disconnect of the client can be detected now. No attempt is started while it can't, for example while
+     * reading from the client is paused.
      */
-    protected boolean isClientWatched() {
+    protected boolean canDetectDisconnect() {
         return true;
     }
 
-    /** Final response: that of an endpoint. */
+    /** Completes the request with an endpoint's response. */
     protected abstract void served(Response response);
 
-    /** Final response: rejected, and the client may retry after that time in milliseconds. */
+    /** Completes the request as rejected; the client may retry after that time in milliseconds. */
     protected abstract void rejected(double retryAfterMs);
 
-    /** Final response: failed, and the request may have had an effect. */
+    /** Completes the request as failed; it may have had an effect. */
     protected abstract void failed(FailureReason reason);
 }
--- a/core/src/main/java/stonelb/core/AttemptSettlement.java
+++ b/core/src/main/java/stonelb/core/CompletionQueue.java
@@ -7,10 +7,11 @@
 import stonelb.decision.Outcome;
 
 /**
- * Settles finished attempts and withdrawn requests: hands a successful response to its client, and reports the result
- * to the decision engine. Both are queued first, since they may come up while the engine is at work.
+ * Queue of finished attempts and withdrawn requests. Processing a finished attempt sends a successful response to its
+ * client and reports the result to the decision engine. Both are queued first, since they may occur during a call of
+ * the engine, which must not be reentered.
  */
-final class AttemptSettlement {
+final class CompletionQueue {
     private final DecisionSettings settings;
     private final TimerQueue timers;
     private final EndpointConnector endpointConnector;
@@ -21,7 +22,7 @@
     private final ArrayDeque<Attempt> finishedAttempts = new ArrayDeque<>();
     private final ArrayDeque<ClientRequest> withdrawnRequests = new ArrayDeque<>();
 
-    AttemptSettlement(
+    CompletionQueue(
             DecisionSettings settings,
             TimerQueue timers,
             EndpointConnector endpointConnector,
@@ -49,8 +50,8 @@
     /** Abandons an attempt that is in flight and queues its report. */
     void cancel(Attempt attempt) {
         if (!attempt.finished) {
-            boolean sent = endpointConnector.abandon(attempt);
-            finish(attempt, sent ? Outcome.CANCELLED : Outcome.NOT_SENT, null);
+            boolean mayHaveExecuted = endpointConnector.abandon(attempt);
+            finish(attempt, mayHaveExecuted ? Outcome.CANCELLED : Outcome.NOT_SENT, null);
         }
     }
 
@@ -59,7 +60,7 @@
         withdrawnRequests.add(request);
     }
 
-    /** Delivers everything queued, including what comes up meanwhile: results of attempts before withdrawals. */
+    /** Processes all queued entries, including those added meanwhile: results of attempts before withdrawals. */
     void deliverAll() {
         while (!finishedAttempts.isEmpty() || !withdrawnRequests.isEmpty()) {
             if (finishedAttempts.isEmpty()) {
@@ -76,14 +77,14 @@
             request.attemptInFlight = null;
         }
         if (attempt.outcome == Outcome.OK) {
-            finalResponses.give(request, () -> request.served(attempt.response));
+            finalResponses.send(request, () -> request.served(attempt.response));
         }
         double now = timers.now();
-        invoker.runReportingFaults(() -> engine.attemptEnded(now, resultOf(attempt, now)));
+        invoker.runReportingFaults(() -> engine.attemptEnded(now, toAttemptResult(attempt, now)));
         requests.removeIfComplete(request);
     }
 
-    private static AttemptResult resultOf(Attempt attempt, double now) {
+    private static AttemptResult toAttemptResult(Attempt attempt, double now) {
         return new AttemptResult(
                 attempt.request().id,
                 attempt.number(),
--- a/core/src/main/java/stonelb/core/EndpointConnector.java
+++ b/core/src/main/java/stonelb/core/EndpointConnector.java
@@ -1,6 +1,9 @@
 package stonelb.core;
 
-/** Sends attempts over connections to endpoints. It reports results later, never from within one of these calls. */
+/**
+ * Sends attempts over connections to endpoints. Results are reported asynchronously, never from within one of these
+ * calls.
+ */
 public interface EndpointConnector {
 
     /** Sends an attempt, and reports its result to {@link RequestTable#attemptEnded}. */
--- a/core/src/main/java/stonelb/core/EndpointStates.java
+++ b/core/src/main/java/stonelb/core/EndpointStates.java
@@ -7,7 +7,7 @@
 import stonelb.decision.EndpointListType;
 import stonelb.decision.EndpointState;
 
-/** The state of each endpoint as the endpoint list last gave it. */
+/** The latest state of each endpoint in the endpoint list. */
 final class EndpointStates {
     private final Map<Long, EndpointState> statesById = new HashMap<>();
 
@@ -25,7 +25,7 @@
         }
     }
 
-    /** Whether the endpoint is listed and takes new requests. */
+    /** Whether the endpoint is listed and accepts new requests. */
     boolean isReady(long endpointId) {
         return statesById.get(endpointId) == EndpointState.READY;
     }
--- a/core/src/main/java/stonelb/core/EngineInvoker.java
+++ b/core/src/main/java/stonelb/core/EngineInvoker.java
@@ -2,16 +2,16 @@
 
 /**
  * Calls the decision engine, one event at a time. The engine must not be called from within one of its own actions:
- * what such an action brings about is queued by its owner, and delivered here once the engine has returned.
+ * events that such an action causes are queued by their owner, and delivered here after the engine has returned.
  *
- * <p>An exception thrown by the engine goes to the {@link FaultListener}. It must not reach the caller, where it would
- * end a client connection or a timer and everything that depends on it.
+ * <p>An exception thrown by the engine is passed to the {@link FaultListener}. If it reached the caller, it would end a
+ * client connection or a timer and everything that depends on it.
  */
 final class EngineInvoker {
     private final FaultListener faultListener;
     private final Runnable deliverPending;
 
-    /** An event is being processed, or the engine is not constructed yet. */
+    /** Whether an event is being processed, or the engine is not constructed yet. */
     private boolean busy = true;
 
     /** Creates an invoker that is busy until {@link #enable}; {@code deliverPending} delivers all queued events. */
@@ -26,7 +26,7 @@
     }
 
     /**
-     * Runs an event, then delivers what its actions have queued.
+     * Runs an event, then delivers the events that its actions have queued.
      *
      * @throws IllegalStateException if called from within an action of the engine
      */
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Runs an event within a call, and hands an exception to the fault listener. */
+    /** Runs an event within a call, and passes an exception to the fault listener. */
     void runReportingFaults(Runnable event) {
         try {
             event.run();
--- a/core/src/main/java/stonelb/core/FailureReason.java
+++ b/core/src/main/java/stonelb/core/FailureReason.java
@@ -5,6 +5,6 @@
     /** No attempt succeeded, and the request may have been executed. */
     ERROR,
 
-    /** No response came before the client's deadline. */
+    /** No response was received before the client's deadline. */
     DEADLINE_EXCEEDED
 }
--- a/core/src/main/java/stonelb/core/FaultListener.java
+++ b/core/src/main/java/stonelb/core/FaultListener.java
@@ -1,8 +1,11 @@
 package stonelb.core;
 
-/** Listens for exceptions thrown by the decision engine, after which requests still get their responses. */
+/**
+ * Listens for exceptions thrown by the decision engine, or by a frontend that sends a response. Requests still get
+ * their final responses after one.
+ */
 public interface FaultListener {
 
-    /** Takes an exception that the decision engine threw. */
+    /** Called with the exception. */
     void onFault(RuntimeException exception);
 }
--- a/core/src/main/java/stonelb/core/FinalResponses.java
+++ b/core/src/main/java/stonelb/core/FinalResponses.java
@@ -1,8 +1,8 @@
 package stonelb.core;
 
 /**
- * Gives each request its one final response: the only place that does. A response that can't be given, because the
- * frontend throws, costs no other request its own.
+ * Sends each request its single final response; no other class does. If the frontend throws while it sends one, the
+ * other requests still get theirs.
  */
 final class FinalResponses {
     private final OpenRequests requests;
@@ -13,8 +13,8 @@
         this.invoker = invoker;
     }
 
-    /** Gives a final response unless the request is done: it has one, or its client has disconnected. */
-    void give(ClientRequest request, Runnable response) {
+    /** Sends a final response unless the request is done: it has one, or its client has disconnected. */
+    void send(ClientRequest request, Runnable response) {
         if (request.done) {
             return;
         }
--- a/core/src/main/java/stonelb/core/OpenRequests.java
+++ b/core/src/main/java/stonelb/core/OpenRequests.java
@@ -5,20 +5,20 @@
 import java.util.List;
 import java.util.Map;
 
-/** The requests that lack a final response or have an attempt in flight, by the number each gets when it is added. */
+/** The requests by id that have no final response yet or have an attempt in flight. */
 final class OpenRequests {
     private final Map<Long, ClientRequest> requestsById = new HashMap<>();
     private long lastId;
     private int openCount;
 
-    /** Numbers a new request and counts it as open. */
+    /** Assigns the next id to a new request and counts it as open. */
     void add(ClientRequest request) {
         request.id = ++lastId;
         requestsById.put(request.id, request);
         openCount++;
     }
 
-    /** The request of that number, or null where it is complete. */
+    /** The request with that id, or null if it is complete. */
     ClientRequest get(long id) {
         return requestsById.get(id);
     }
@@ -33,7 +33,7 @@
         return new ArrayList<>(requestsById.values());
     }
 
-    /** Records that a request has its final response, or that nobody waits for one. */
+    /** Records that a request has its final response, or that its client has disconnected. */
     void markDone(ClientRequest request) {
         request.done = true;
         openCount--;
--- a/core/src/main/java/stonelb/core/QuotaCounter.java
+++ b/core/src/main/java/stonelb/core/QuotaCounter.java
@@ -4,10 +4,10 @@
 public interface QuotaCounter {
 
     /**
-     * Adds an amount to a counter. The result goes to {@link RequestTable#counterAnswered}, never from within this call,
-     * and results for one name come in the order of the calls.
+     * Adds an amount to a counter. The result is reported to {@link RequestTable#counterAnswered}, never from within
+     * this call, and results for one name are reported in the order of the calls.
      *
-     * @param keepMs how long the counter is kept after this call, in milliseconds
+     * @param expiryMs how long the counter is kept after this call, in milliseconds
      */
-    void add(long name, double amount, double keepMs);
+    void add(long name, double amount, double expiryMs);
 }
--- a/core/src/main/java/stonelb/core/RequestTable.java
+++ b/core/src/main/java/stonelb/core/RequestTable.java
@@ -12,17 +12,20 @@
 import stonelb.decision.Outcome;
 
 /**
- * The requests in flight and the decision engine that decides on them. Each request gets exactly one final response,
- * at most one of its attempts is in flight unless hedging is allowed, and no attempt outlives its deadline.
+ * The requests in flight and the decision engine that controls them. Each request gets exactly one final response, at
+ * most one of its attempts is in flight unless hedging is allowed, and no attempt outlives its deadline.
  *
- * <p>The table knows no protocol: frontends extend {@link ClientRequest}, and endpoint connections implement {@link
- * EndpointConnector}. All methods must be called on the event-loop thread.
+ * <p>The table is independent of protocols: frontends extend {@link ClientRequest}, and endpoint connections implement
+ * {@link EndpointConnector}. All methods must be called on the event-loop thread.
  */
 public final class RequestTable implements DecisionActions, TimerCallback {
-    /** Responses are due this long before the client's deadline, which leaves time for the way back and for a pause. */
+    /**
+     * Responses are due this long before the client's deadline, to leave time for the transmission and for a pause of
+     * this process.
+     */
     static final double RESPONSE_MARGIN_MS = 15;
 
-    /** How long after the engine's own deadline a request that the engine has not answered is completed here. */
+    /** How long after the engine's own deadline a request that the engine has not completed is completed here. */
     private static final double EXPIRY_GRACE_MS = 3;
 
     private final DecisionSettings settings;
@@ -35,13 +38,13 @@
     private final EngineInvoker invoker;
     private final DecisionEngine engine;
     private final FinalResponses finalResponses;
-    private final AttemptSettlement settlement;
+    private final CompletionQueue completions;
 
     /**
      * Creates the table with a decision engine of its own.
      *
      * @param seed of the engine's random choices
-     * @param faultListener is told of exceptions that the engine throws
+     * @param faultListener receives the exceptions that the engine or a frontend throws
      */
     public RequestTable(
             DecisionSettings settings,
@@ -57,8 +60,8 @@
         invoker = new EngineInvoker(faultListener, this::deliverPending);
         engine = new DefaultDecisionEngine(timers.now(), settings, seed, this);
         finalResponses = new FinalResponses(requests, invoker);
-        settlement =
-                new AttemptSettlement(settings, timers, endpointConnector, requests, finalResponses, engine, invoker);
+        completions =
+                new CompletionQueue(settings, timers, endpointConnector, requests, finalResponses, engine, invoker);
         invoker.enable();
     }
 
@@ -74,14 +77,14 @@
 
     // Events from the frontends, the endpoint connections, the endpoint list and the quota counter.
 
-    /** Admits a new request; its final response may be given before this call returns. */
+    /** Admits a new request; its final response may be sent before this call returns. */
     public void submit(ClientRequest request) {
         requests.add(request);
         timers.scheduleAt(responseDeadline(request) + EXPIRY_GRACE_MS, expiryCallback, request.id);
-        invoker.call(() -> engine.requestReceived(now(), admissionOf(request)));
+        invoker.call(() -> engine.requestReceived(now(), toAdmissionRequest(request)));
     }
 
-    private static AdmissionRequest admissionOf(ClientRequest request) {
+    private static AdmissionRequest toAdmissionRequest(ClientRequest request) {
         RequestAttributes attributes = request.attributes();
         return new AdmissionRequest(
                 request.id,
@@ -94,7 +97,7 @@
                 attributes.retry());
     }
 
-    /** When the response must be on its way to the client. */
+    /** The time by which the response must be sent to the client. */
     private static double responseDeadline(ClientRequest request) {
         return request.attributes().deadlineMs() - RESPONSE_MARGIN_MS;
     }
@@ -102,39 +105,39 @@
     /** Withdraws a request whose client has disconnected: it gets no response, and its attempt is abandoned. */
     public void withdraw(ClientRequest request) {
         if (!request.done) {
-            settlement.withdraw(request);
+            completions.withdraw(request);
             invoker.deliverUnlessBusy();
         }
     }
 
-    /** Takes a change of the endpoint list. */
+    /** Applies a change of the endpoint list. */
     public void endpointsChanged(EndpointListType type, List<Endpoint> endpoints) {
         endpointStates.update(type, endpoints);
         invoker.call(() -> engine.endpointsChanged(now(), type, endpoints));
     }
 
-    /** Takes the result of a call to the quota counter. */
+    /** Handles the result of a call to the quota counter. */
     public void counterAnswered(long name, Outcome outcome, double latencyMs, double total) {
         invoker.call(() -> engine.counterAnswered(now(), name, outcome, latencyMs, total));
     }
 
-    /** Takes the result of an attempt; the second and later results of one attempt are ignored. */
+    /** Handles the result of an attempt; later results of the same attempt are ignored. */
     public void attemptEnded(Attempt attempt, Outcome outcome, Response response) {
         if (!attempt.finished) {
-            settlement.finish(attempt, outcome, response);
+            completions.finish(attempt, outcome, response);
             invoker.deliverUnlessBusy();
         }
     }
 
     /**
-     * Whether an attempt may be written, the one place that permits it. Connections ask directly before the write, since
-     * an attempt may have waited for a connection while its endpoint began to drain, its request was answered, its
-     * deadline passed or its client disconnected.
+     * Whether an attempt may be written to a connection; no other code permits it. Connections check this directly
+     * before the write, since an attempt may have waited for a connection while its endpoint began to drain, its
+     * request was answered, its deadline passed or its client disconnected.
      */
     public boolean maySend(Attempt attempt) {
         return !attempt.finished
                 && !attempt.request().done
-                && attempt.request().isClientWatched()
+                && attempt.request().canDetectDisconnect()
                 && now() < attempt.deadline()
                 && endpointStates.isReady(attempt.endpoint());
     }
@@ -144,7 +147,9 @@
         requests.snapshot().forEach(this::complete);
     }
 
-    /** Rejects a request that surely had no effect, or that is idempotent; any other one fails. */
+    /**
+     * Rejects a request that is idempotent or was never attempted; fails any other, since it may have had an effect.
+     */
     private void complete(ClientRequest request) {
         if (request.done) {
             return;
@@ -156,7 +161,7 @@
         }
     }
 
-    /** The engine completes requests by timers of its own; this completes those that a fault made it miss. */
+    /** The engine completes requests by its own timers; this completes those that it missed because of an exception. */
     private void onExpired(long requestId) {
         ClientRequest request = requests.get(requestId);
         if (request != null) {
@@ -170,29 +175,29 @@
 
     void attemptTimedOut(Attempt attempt) {
         if (!attempt.finished) {
-            boolean sent = endpointConnector.abandon(attempt);
-            attemptEnded(attempt, sent ? Outcome.TIMEOUT : Outcome.NOT_SENT, null);
+            boolean mayHaveExecuted = endpointConnector.abandon(attempt);
+            attemptEnded(attempt, mayHaveExecuted ? Outcome.TIMEOUT : Outcome.NOT_SENT, null);
         }
     }
 
     private void deliverPending() {
-        settlement.deliverAll();
+        completions.deliverAll();
     }
 
     // Actions of the decision engine.
 
     @Override
-    public void forward(long id, long endpointId, double patienceMs) {
+    public void forward(long id, long endpointId, double attemptTimeoutMs) {
         ClientRequest request = requests.get(id);
         if (request == null) {
             return;
         }
         double now = now();
         double deadline = responseDeadline(request);
-        double attemptDeadline = patienceMs > 0 ? Math.min(deadline, now + patienceMs) : deadline;
+        double attemptDeadline = attemptTimeoutMs > 0 ? Math.min(deadline, now + attemptTimeoutMs) : deadline;
         Attempt attempt = new Attempt(this, request, request.attemptsStarted++, endpointId, now, attemptDeadline);
         if (!mayStartAttempt(request)) {
-            settlement.finish(attempt, Outcome.NOT_SENT, null);
+            completions.finish(attempt, Outcome.NOT_SENT, null);
             return;
         }
         request.attemptInFlight = attempt;
@@ -201,12 +206,12 @@
     }
 
     /**
-     * No attempt after the final response or where a disconnect of the client could go unnoticed, and no second one in
-     * flight unless hedging is allowed.
+     * No attempt is started after the final response or while a disconnect of the client can't be detected, and no
+     * second one while another is in flight unless hedging is allowed.
      */
     private boolean mayStartAttempt(ClientRequest request) {
         return !request.done
-                && request.isClientWatched()
+                && request.canDetectDisconnect()
                 && (request.attemptInFlight == null || settings.attemptLimits().hedging());
     }
 
@@ -214,7 +219,7 @@
     public void cancel(long id, int attemptNumber) {
         ClientRequest request = requests.get(id);
         if (request != null && request.attemptInFlight != null && request.attemptInFlight.number() == attemptNumber) {
-            settlement.cancel(request.attemptInFlight);
+            completions.cancel(request.attemptInFlight);
         }
     }
 
@@ -222,7 +227,7 @@
     public void reject(long id, double retryAfterMs) {
         ClientRequest request = requests.get(id);
         if (request != null) {
-            finalResponses.give(request, () -> request.rejected(retryAfterMs));
+            finalResponses.send(request, () -> request.rejected(retryAfterMs));
         }
     }
 
@@ -230,9 +235,9 @@
     public void fail(long id) {
         ClientRequest request = requests.get(id);
         if (request != null) {
-            boolean late = now() >= request.attributes().deadlineMs() - 2 * RESPONSE_MARGIN_MS;
-            FailureReason reason = late ? FailureReason.DEADLINE_EXCEEDED : FailureReason.ERROR;
-            finalResponses.give(request, () -> request.failed(reason));
+            boolean nearDeadline = now() >= request.attributes().deadlineMs() - 2 * RESPONSE_MARGIN_MS;
+            FailureReason reason = nearDeadline ? FailureReason.DEADLINE_EXCEEDED : FailureReason.ERROR;
+            finalResponses.send(request, () -> request.failed(reason));
         }
     }
 
@@ -247,8 +252,8 @@
     }
 
     @Override
-    public void addToCounter(long name, double amount, double keepMs) {
-        quotaCounter.add(name, amount, keepMs);
+    public void addToCounter(long name, double amount, double expiryMs) {
+        quotaCounter.add(name, amount, expiryMs);
     }
 
     /** Does nothing, since the endpoint list is always watched. */
--- a/core/src/main/java/stonelb/core/Response.java
+++ b/core/src/main/java/stonelb/core/Response.java
@@ -1,4 +1,4 @@
 package stonelb.core;
 
-/** An endpoint's response to a request. The request table hands it to the frontend without looking into it. */
+/** An endpoint's response to a request. The request table passes it to the frontend without inspecting it. */
 public interface Response {}
--- a/core/src/main/java/stonelb/core/TimerCallback.java
+++ b/core/src/main/java/stonelb/core/TimerCallback.java
@@ -1,6 +1,6 @@
 package stonelb.core;
 
-/** What a timer calls. */
+/** The callback of a timer. */
 public interface TimerCallback {
 
     /**
--- a/core/src/main/java/stonelb/core/TimerQueue.java
+++ b/core/src/main/java/stonelb/core/TimerQueue.java
@@ -3,19 +3,19 @@
 import java.util.Arrays;
 
 /**
- * All timers of a process, in one binary heap behind a single alarm of the host. Timers of the same time fire in the order
- * in which they were scheduled.
+ * All timers of a process, in one binary heap that is driven by a single alarm. Timers due at the same time fire in the
+ * order in which they were scheduled.
  */
 public final class TimerQueue {
     private static final int INITIAL_CAPACITY = 64;
 
-    /** The host's clock and its single alarm; a later call of {@link #wakeAt} replaces an earlier one. */
+    /** The clock and the alarm of an event loop; a later call of {@link #wakeAt} replaces an earlier one. */
     public interface Alarm {
 
         /** The time in milliseconds. */
         double now();
 
-        /** Asks for a call of {@link TimerQueue#runDue} at a time on that clock. */
+        /** Requests a call of {@link TimerQueue#runDue} at a time on that clock. */
         void wakeAt(double whenMs);
     }
 
@@ -37,17 +37,17 @@
         this.alarm = alarm;
     }
 
-    /** The time in milliseconds on the host's clock. */
+    /** The time in milliseconds on the clock of the alarm. */
     public double now() {
         return alarm.now();
     }
 
-    /** Schedules a timer; a negative delay counts as none. */
+    /** Schedules a timer; a negative delay counts as 0. */
     public void scheduleAfter(double delayMs, TimerCallback callback, long token) {
         scheduleAt(now() + Math.max(0, delayMs), callback, token);
     }
 
-    /** Schedules a timer; {@code token} is handed to the callback. */
+    /** Schedules a timer; {@code token} is passed to the callback. */
     public void scheduleAt(double dueAt, TimerCallback callback, long token) {
         if (size == heap.length) {
             heap = Arrays.copyOf(heap, 2 * size);
@@ -59,7 +59,10 @@
         }
     }
 
-    /** Runs the timers that are due. One that is scheduled for now meanwhile waits for the next alarm. */
+    /**
+     * Runs the timers that are due. A timer that one of them schedules waits for the next alarm, even if it is already
+     * due.
+     */
     public void runDue() {
         double now = now();
         long endSequence = nextSequence;
--- a/core/src/main/java/stonelb/counter/CounterCall.java
+++ b/core/src/main/java/stonelb/counter/CounterCall.java
@@ -5,30 +5,32 @@
 import stonelb.core.TimerCallback;
 import stonelb.decision.Outcome;
 
-/** One call to the quota counter, which is reported once. As a timer callback it is the call's timeout. */
+/** One call to the quota counter, whose result is reported once. As a timer callback it is the call's timeout. */
 final class CounterCall implements TimerCallback {
-    /** Decimal places of an amount; the decision engine counts amounts as added with the same precision. */
+    /**
+     * Decimal places of an amount; the decision engine uses the same precision for the amounts that it counts as added.
+     */
     private static final int AMOUNT_SCALE = 7;
 
     private static final double MAX_PLAIN_INTEGER = 1e9;
-    private static final long MIN_EXPIRE_MS = 1;
-    private static final long MAX_EXPIRE_MS = 60_000;
+    private static final long MIN_EXPIRY_MS = 1;
+    private static final long MAX_EXPIRY_MS = 60_000;
 
     private final CounterClient client;
     private final long name;
     private final double amount;
-    private final double keepMs;
+    private final double expiryMs;
     private final double startedAt;
     private boolean reported;
 
-    /** The connection that it was sent on, or null. */
+    /** The connection on which it was sent, or null. */
     private CounterConnection connection;
 
-    CounterCall(CounterClient client, long name, double amount, double keepMs, double startedAt) {
+    CounterCall(CounterClient client, long name, double amount, double expiryMs, double startedAt) {
         this.client = client;
         this.name = name;
         this.amount = amount;
-        this.keepMs = keepMs;
+        this.expiryMs = expiryMs;
         this.startedAt = startedAt;
     }
 
@@ -44,13 +46,13 @@
         return reported;
     }
 
-    void sentOn(CounterConnection carrier) {
-        connection = carrier;
+    void sentOn(CounterConnection newConnection) {
+        connection = newConnection;
     }
 
     String path() {
-        long expireMs = Math.max(MIN_EXPIRE_MS, Math.min(MAX_EXPIRE_MS, Math.round(keepMs)));
-        return "/counters/" + Long.toHexString(name) + "?by=" + formatAmount(amount) + "&expire_ms=" + expireMs;
+        long boundedExpiryMs = Math.max(MIN_EXPIRY_MS, Math.min(MAX_EXPIRY_MS, Math.round(expiryMs)));
+        return "/counters/" + Long.toHexString(name) + "?by=" + formatAmount(amount) + "&expire_ms=" + boundedExpiryMs;
     }
 
     private static String formatAmount(double amount) {
@@ -71,11 +73,11 @@
         }
     }
 
-    /** The call may have been added if it was sent, and was not if it is still unsent. */
+    /** A call that was sent may have been added to the counter; one that was not sent was not. */
     @Override
     public void onTimer(double now, long token) {
         if (!reported) {
-            report(connection == null ? Outcome.CONNECT_FAILED : connection.outcomeOfTimeout(), 0);
+            report(connection == null ? Outcome.CONNECT_FAILED : connection.handleCallTimeout(), 0);
         }
     }
 }
--- a/core/src/main/java/stonelb/counter/CounterClient.java
+++ b/core/src/main/java/stonelb/counter/CounterClient.java
@@ -10,23 +10,23 @@
 
 /**
  * Client of the quota counter, over a fixed number of connections. All calls for one name use the same connection, so
- * that their answers come in the order of the calls.
+ * that their responses arrive in the order of the calls.
  */
 public final class CounterClient implements QuotaCounter, TimerCallback {
-    private static final int LANE_COUNT = 2;
+    private static final int CONNECTION_COUNT = 2;
     private static final double SWEEP_INTERVAL_MS = 500;
 
     private final EventLoop loop;
     private final RateLimitedLog log;
     private final double timeoutMs;
-    private final CounterLane[] lanes = new CounterLane[LANE_COUNT];
+    private final CounterConnectionHolder[] connectionHolders = new CounterConnectionHolder[CONNECTION_COUNT];
     private InetSocketAddress address;
     private CounterListener listener;
 
     /**
      * Creates a client that connects at its first call.
      *
-     * @param address of the counter, or null for none: calls then end as if it could not be reached
+     * @param address of the counter, or null for none: calls then fail as if it were unreachable
      * @param timeoutMs how long a call may take
      */
     public CounterClient(EventLoop loop, RateLimitedLog log, InetSocketAddress address, double timeoutMs) {
@@ -34,25 +34,25 @@
         this.log = log;
         this.address = address;
         this.timeoutMs = timeoutMs;
-        for (int i = 0; i < LANE_COUNT; i++) {
-            lanes[i] = new CounterLane(loop, this::openConnection);
+        for (int i = 0; i < CONNECTION_COUNT; i++) {
+            connectionHolders[i] = new CounterConnectionHolder(loop, this::openConnection);
         }
     }
 
-    /** Starts the client; {@code listener} is told the result of each call. */
+    /** Starts the client; {@code listener} receives the result of each call. */
     public void start(CounterListener listener) {
         this.listener = listener;
         loop.timers().scheduleAfter(SWEEP_INTERVAL_MS, this, 0);
     }
 
-    /** Migrates the calls to the counter's new address; null where there is no counter any more. */
+    /** Migrates the calls to the counter's new address, or to none if it is null. */
     public void migrateTo(InetSocketAddress newAddress) {
         if (Objects.equals(newAddress, address)) {
             return;
         }
         address = newAddress;
-        for (CounterLane lane : lanes) {
-            lane.migrate(newAddress != null);
+        for (CounterConnectionHolder holder : connectionHolders) {
+            holder.migrate(newAddress != null);
         }
     }
 
@@ -63,21 +63,23 @@
     }
 
     @Override
-    public void add(long name, double amount, double keepMs) {
-        CounterCall call = new CounterCall(this, name, amount, keepMs, loop.now());
+    public void add(long name, double amount, double expiryMs) {
+        CounterCall call = new CounterCall(this, name, amount, expiryMs, loop.now());
         loop.timers().scheduleAfter(timeoutMs, call, 0);
         if (address == null || !Double.isFinite(amount)) {
-            return; // never sent: the call ends at its timeout as one that could not connect
+            return; // never sent: its timeout reports it as a failed connection attempt
         }
-        lanes[Math.floorMod(Long.hashCode(name), LANE_COUNT)].connection().add(call);
+        connectionHolders[Math.floorMod(Long.hashCode(name), CONNECTION_COUNT)]
+                .connection()
+                .add(call);
     }
 
-    /** Closes connections that are silent or idle. */
+    /** Closes connections that are unresponsive or idle. */
     @Override
     public void onTimer(double now, long token) {
         loop.timers().scheduleAfter(SWEEP_INTERVAL_MS, this, 0);
-        for (CounterLane lane : lanes) {
-            lane.closeIfSilentOrIdle(now);
+        for (CounterConnectionHolder holder : connectionHolders) {
+            holder.closeIfUnresponsiveOrIdle(now);
         }
     }
 
--- a/core/src/main/java/stonelb/counter/CounterConnection.java
+++ b/core/src/main/java/stonelb/counter/CounterConnection.java
@@ -12,7 +12,7 @@
 import stonelb.io.MalformedInputException;
 import stonelb.io.RateLimitedLog;
 
-/** One connection to the quota counter. Calls are pipelined, and answers come in the order of the calls. */
+/** One connection to the quota counter. Calls are pipelined, and responses arrive in the order of the calls. */
 final class CounterConnection extends Connection {
     private static final int MAX_RESPONSE_BYTES = 64 * 1024;
     private static final int REQUEST_BYTES = 160;
@@ -21,10 +21,15 @@
     /** Limit of the calls in flight, and of those that wait for the connection to open. */
     private static final int MAX_CALLS = 256;
 
-    /** A connection whose oldest call has had no answer for this long is closed: its peer may have vanished. */
+    /**
+     * A connection whose oldest call has had no response for this long is closed, since the peer may be unreachable.
+     */
     private static final double RESPONSE_TIMEOUT_MS = 1000;
 
-    /** Well below the counter's own idle timeout, so that the counter closes no connection under a call. */
+    /**
+     * Well below the counter's own idle timeout, so that the counter does not close a connection on which a call is
+     * being sent.
+     */
     private static final double IDLE_TIMEOUT_MS = 3000;
 
     private final CounterClient client;
@@ -32,9 +37,9 @@
     private final HttpParser parser = new HttpParser(true, MAX_RESPONSE_BYTES);
     private final ArrayDeque<CounterCall> inFlight = new ArrayDeque<>();
     private final ArrayDeque<CounterCall> queuedUntilOpen = new ArrayDeque<>();
-    private boolean ended;
+    private boolean terminated;
 
-    /** Takes no more calls, and closes once those in flight are answered. */
+    /** Whether it accepts no more calls, and closes once those in flight are answered. */
     private boolean draining;
 
     private double lastUsedAt;
@@ -46,21 +51,21 @@
         lastUsedAt = client.now();
     }
 
-    /** Whether it takes no call any more, though {@link #onClosed} may still be to come. */
-    boolean hasEnded() {
-        return ended;
+    /** Whether it accepts no more calls, even if {@link #onClosed} has not been called yet. */
+    boolean isTerminated() {
+        return terminated;
     }
 
-    boolean isUp() {
+    boolean isConnected() {
         return isOpen();
     }
 
-    /** Whether no call on it still waits for its answer. */
+    /** Whether no call on it is waiting for a response. */
     boolean hasNoOpenCalls() {
         return queuedUntilOpen.isEmpty() && inFlight.stream().allMatch(CounterCall::isReported);
     }
 
-    /** Closes the connection once the calls in flight are answered, but no later than their answers are waited for. */
+    /** Closes the connection once the calls in flight are answered, or when the response timeout has passed. */
     void drain(EventLoop loop) {
         draining = true;
         closeIfDrained();
@@ -74,9 +79,9 @@
     }
 
     void connect(EventLoop loop) {
-        loop.connect(address, CONNECT_TIMEOUT_MS, this, connecting -> {
-            if (!connecting.isSuccess()) {
-                log.warn("quota counter unreachable", "falling back to local shares");
+        loop.connect(address, CONNECT_TIMEOUT_MS, this, connectResult -> {
+            if (!connectResult.isSuccess()) {
+                log.warn("quota counter unreachable", "falling back to a local share of each quota");
                 onClosed();
             }
         });
@@ -120,7 +125,7 @@
         for (HttpMessage response = parser.next(in); response != null; response = parser.next(in)) {
             CounterCall call = inFlight.poll();
             if (call == null) {
-                throw new MalformedInputException("it answered what was not asked");
+                throw new MalformedInputException("response without a request");
             }
             lastUsedAt = client.now();
             handleResponse(call, response);
@@ -146,14 +151,14 @@
     private static void handleTotal(CounterCall call, HttpMessage response) throws MalformedInputException {
         try {
             double total = Double.parseDouble(new String(response.body(), StandardCharsets.US_ASCII).strip());
-            // NaN or infinity would spoil every later calculation with the total.
+            // NaN or infinity would corrupt every later calculation with the total.
             if (!Double.isFinite(total)) {
                 throw new NumberFormatException();
             }
             call.report(Outcome.OK, total);
         } catch (NumberFormatException e) {
-            call.report(Outcome.RESET, 0); // it was added, and its total is not known
-            throw new MalformedInputException("a total is not a number");
+            call.report(Outcome.RESET, 0); // it was added, but the total is unknown
+            throw new MalformedInputException("the total is not a finite number");
         }
     }
 
@@ -163,32 +168,32 @@
         terminate();
     }
 
-    /** Closes the connection; the next call uses another one at once, though {@link #onClosed} may come later. */
+    /** Closes the connection; the next call uses a new one even if {@link #onClosed} has not been called yet. */
     private void terminate() {
-        ended = true;
+        terminated = true;
         close();
     }
 
     /**
-     * The outcome of a call that timed out on this connection. An answer that has begun and does not end would hold up
-     * all later answers as well, so the connection is then closed. Where no answer has begun, the counter may only be
-     * slow.
+     * Handles the timeout of a call on this connection and returns its outcome. A response that has begun but does not
+     * end would block all later responses as well, so the connection is then closed. If no response has begun, the
+     * counter may only be slow.
      */
-    Outcome outcomeOfTimeout() {
+    Outcome handleCallTimeout() {
         if (!parser.isMidMessage()) {
             return Outcome.TIMEOUT;
         }
-        onMalformed("an answer stays half sent");
+        onMalformed("incomplete response");
         return Outcome.RESET;
     }
 
     @Override
     protected void onClosed() {
-        ended = true;
-        HttpMessage last = peerEnded() ? parser.end() : null;
-        if (last != null && !inFlight.isEmpty()) {
+        terminated = true;
+        HttpMessage lastResponse = peerClosedCleanly() ? parser.endOfInput() : null;
+        if (lastResponse != null && !inFlight.isEmpty()) {
             try {
-                handleResponse(inFlight.poll(), last);
+                handleResponse(inFlight.poll(), lastResponse);
             } catch (MalformedInputException e) {
                 log.warn("malformed response from quota counter", e.getMessage());
             }
@@ -201,15 +206,15 @@
         }
     }
 
-    /** Closes a connection whose peer may have vanished, or that is idle and may be closed by the counter. */
-    void closeIfSilentOrIdle(double now) {
+    /** Closes a connection whose peer may be unreachable, or that is idle and may be closed by the counter. */
+    void closeIfUnresponsiveOrIdle(double now) {
         if (!isOpen()) {
             return;
         }
         CounterCall oldest = inFlight.peek();
-        boolean silent = oldest != null && now - oldest.startedAt() > RESPONSE_TIMEOUT_MS;
+        boolean unresponsive = oldest != null && now - oldest.startedAt() > RESPONSE_TIMEOUT_MS;
         boolean idle = oldest == null && now - lastUsedAt > IDLE_TIMEOUT_MS;
-        if (silent || idle) {
+        if (unresponsive || idle) {
             terminate();
         }
     }
--- a/core/src/main/java/stonelb/counter/CounterListener.java
+++ b/core/src/main/java/stonelb/counter/CounterListener.java
@@ -6,7 +6,7 @@
 public interface CounterListener {
 
     /**
-     * Takes the result of a call; called once for each, in the order of the calls for that name.
+     * Called once with the result of each call, in the order of the calls for that name.
      *
      * @param latencyMs from the call to its result
      * @param total of the counter, where {@code outcome} is {@link Outcome#OK}
--- a/core/src/main/java/stonelb/description/DescriptionFile.java
+++ b/core/src/main/java/stonelb/description/DescriptionFile.java
@@ -12,8 +12,8 @@
 import stonelb.io.RateLimitedLog;
 
 /**
- * The file that holds the OpenAPI description. A thread of its own reloads it periodically, since a large one takes longer
- * than requests can wait; the finished routes are handed to the event loop.
+ * The file with the OpenAPI description. A dedicated thread reloads it periodically, because parsing a large file on the
+ * event loop would delay requests; the event loop receives the finished routes.
  */
 public final class DescriptionFile {
     private static final long MAX_BYTES = 4L << 20;
@@ -25,10 +25,10 @@
     private final EventLoop loop;
     private final RateLimitedLog log;
 
-    /** The text that was read last, whether valid or not. */
+    /** The text read last, valid or not. */
     private byte[] lastText = {};
 
-    /** Creates the object without reading the file; {@code classes} are the request classes of the settings by name. */
+    /** Creates the object without reading the file; {@code classes} are the names of the request classes. */
     public DescriptionFile(
             Path file, List<String> classes, DecisionSettings settings, EventLoop loop, RateLimitedLog log) {
         this.file = file;
@@ -39,7 +39,7 @@
     }
 
     /**
-     * Loads the routes of the file; null where its text is the same as at the last call.
+     * Loads the routes of the file; null if its text has not changed since the last call.
      *
      * @throws InvalidDescriptionException if the file can't be read, is too large or is not valid
      */
@@ -60,7 +60,7 @@
         }
     }
 
-    /** Starts to reload the file periodically; {@code onReload} takes new routes on the event-loop thread. */
+    /** Starts a thread that reloads the file periodically; {@code onReload} receives new routes on the event-loop thread. */
     public void watch(int intervalMs, Consumer<Routes> onReload) {
         Thread thread = new Thread(
                 () -> {
--- a/core/src/main/java/stonelb/description/InvalidDescriptionException.java
+++ b/core/src/main/java/stonelb/description/InvalidDescriptionException.java
@@ -1,6 +1,6 @@
 package stonelb.description;
 
-/** A description that is not valid; the message says in one sentence what is wrong. */
+/** Thrown for an invalid description; the message says in one sentence what is wrong. */
 public final class InvalidDescriptionException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/core/src/main/java/stonelb/description/MalformedPathException.java
+++ b/core/src/main/java/stonelb/description/MalformedPathException.java
@@ -1,6 +1,6 @@
 package stonelb.description;
 
-/** A request path that is not a valid path. */
+/** Thrown for a request path that is not valid. */
 public final class MalformedPathException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/core/src/main/java/stonelb/description/OpenApiDescription.java
+++ b/core/src/main/java/stonelb/description/OpenApiDescription.java
@@ -40,7 +40,7 @@
      *
      * @param text of the description, in UTF-8
      * @param classes names of the request classes, in the order of the settings
-     * @param warnings takes messages for the operator about what is valid but perhaps not meant
+     * @param warnings receives messages for the operator about content that is valid but probably unintended
      * @throws InvalidDescriptionException if the text is not a valid description, or does not fit the settings
      */
     public static Routes read(byte[] text, List<String> classes, DecisionSettings settings, Consumer<String> warnings)
@@ -53,12 +53,12 @@
                 | IllegalStateException
                 | ClassCastException
                 | UnsupportedOperationException
-                | IllegalArgumentException e) { // also of numbers: malformed, or such as JSON does not have
+                | IllegalArgumentException e) { // also thrown for numbers: malformed, NaN or infinite
             String firstLine =
                     String.valueOf(e.getMessage()).lines().findFirst().orElse("");
             throw new InvalidDescriptionException("it is not the JSON or YAML expected: " + firstLine);
         } catch (StackOverflowError e) {
-            throw new InvalidDescriptionException("it is nested too deep");
+            throw new InvalidDescriptionException("it is nested too deeply");
         }
     }
 
@@ -90,7 +90,7 @@
             }
         }
         if (routes.size() == 0) {
-            throw new InvalidDescriptionException("it holds no operation");
+            throw new InvalidDescriptionException("it contains no operation");
         }
         return routes;
     }
@@ -104,12 +104,12 @@
                 .entrySet()) {
             if (!routes.add(prefixed.getKey() + path, prefixed.getValue())) {
                 throw new InvalidDescriptionException(
-                        "the path " + path + " is there twice but for the names of its variables");
+                        "the path " + path + " occurs twice, apart from the names of its variables");
             }
         }
     }
 
-    /** The operations of a path by method, for each server prefix: an operation may state servers of its own. */
+    /** The operations of a path by method, for each server prefix: an operation may declare its own servers. */
     private Map<String, Map<String, Route>> operationsByPrefix(String path, JsonObject pathItem)
             throws InvalidDescriptionException {
         Map<String, Map<String, Route>> operationsByPrefix = new LinkedHashMap<>();
--- a/core/src/main/java/stonelb/description/OperationReader.java
+++ b/core/src/main/java/stonelb/description/OperationReader.java
@@ -38,45 +38,47 @@
     }
 
     Route read(String name, JsonObject pathItem, JsonObject operation) throws InvalidDescriptionException {
-        double cost = cost(name, nearest(COST_EXTENSION, operation, pathItem));
-        Set<String> requiredQueries = new LinkedHashSet<>();
+        double cost = cost(name, findExtension(COST_EXTENSION, operation, pathItem));
+        Set<String> requiredQueryParameters = new LinkedHashSet<>();
         Set<String> requiredHeaders = new LinkedHashSet<>();
         // An operation's own parameters replace those of its path.
-        for (JsonObject owner : List.of(pathItem, operation)) {
-            for (JsonElement parameter : JsonValues.array(owner, "parameters")) {
-                readParameter(references.resolve(parameter.getAsJsonObject()), requiredQueries, requiredHeaders);
+        for (JsonObject declaring : List.of(pathItem, operation)) {
+            for (JsonElement parameter : JsonValues.array(declaring, "parameters")) {
+                readParameter(
+                        references.resolve(parameter.getAsJsonObject()), requiredQueryParameters, requiredHeaders);
             }
         }
         JsonObject body =
                 operation.has("requestBody") ? references.resolve(operation.getAsJsonObject("requestBody")) : null;
-        int requestClass = requestClass(name, nearest(CLASS_EXTENSION, operation, pathItem));
+        int requestClass = requestClass(name, findExtension(CLASS_EXTENSION, operation, pathItem));
         return new Route(
                 name,
                 requestClass,
                 cost,
-                List.copyOf(requiredQueries),
+                List.copyOf(requiredQueryParameters),
                 List.copyOf(requiredHeaders),
                 body != null && isRequired(body));
     }
 
-    private double cost(String name, JsonElement stated) throws InvalidDescriptionException {
-        if (stated == null) {
+    private double cost(String name, JsonElement declared) throws InvalidDescriptionException {
+        if (declared == null) {
             return DEFAULT_COST;
         }
-        double cost = stated.getAsDouble();
-        double largest = settings.largestUnits();
+        double cost = declared.getAsDouble();
+        double largest = settings.maxUnits();
         if (!(cost > 0) || Double.isInfinite(cost) || (largest > 0 && cost > largest)) {
-            throw new InvalidDescriptionException(
-                    name + " costs " + cost + ", which is not above 0 and up to the " + largest + " of the settings");
+            throw new InvalidDescriptionException(name + " costs " + cost + ", which is not above 0 and at most "
+                    + largest + ", the limit in the settings");
         }
         return cost;
     }
 
-    private static void readParameter(JsonObject parameter, Set<String> requiredQueries, Set<String> requiredHeaders) {
+    private static void readParameter(
+            JsonObject parameter, Set<String> requiredQueryParameters, Set<String> requiredHeaders) {
         String location = JsonValues.text(parameter, "in");
         if ("query".equals(location)) {
             String name = String.valueOf(JsonValues.text(parameter, "name"));
-            addOrRemove(requiredQueries, name, isRequired(parameter));
+            addOrRemove(requiredQueryParameters, name, isRequired(parameter));
         } else if ("header".equals(location)) {
             String name = String.valueOf(JsonValues.text(parameter, "name"));
             addOrRemove(requiredHeaders, name.toLowerCase(Locale.ROOT), isRequired(parameter));
@@ -96,30 +98,30 @@
                 && parameterOrBody.get("required").getAsBoolean();
     }
 
-    /** The class stated, else the description's default, else one whose requests run at most once. */
-    private int requestClass(String name, JsonElement stated) throws InvalidDescriptionException {
-        JsonElement className = stated != null ? stated : root.get(DEFAULT_CLASS_EXTENSION);
+    /** The declared class, else the description's default, else an at-most-once class. */
+    private int requestClass(String name, JsonElement declared) throws InvalidDescriptionException {
+        JsonElement className = declared != null ? declared : root.get(DEFAULT_CLASS_EXTENSION);
         if (className != null) {
             int index = classes.indexOf(className.getAsString());
             if (index < 0) {
                 throw new InvalidDescriptionException(
-                        name + " has the class " + className.getAsString() + ", which the settings do not name");
+                        name + " has the class " + className.getAsString() + ", which the settings do not define");
             }
             return index;
         }
-        // Without a class, a write must not be retried: it could run twice.
+        // The operation may be a write, which must not be retried: it could run twice.
         for (int i = 0; i < classes.size(); i++) {
             if (settings.classes().get(i).idempotency() == Idempotency.AT_MOST_ONCE) {
-                warnings.accept(name + " has no class, using " + classes.get(i) + ", which never runs twice");
+                warnings.accept(name + " has no class, using " + classes.get(i) + ", an at-most-once class");
                 return i;
             }
         }
-        throw new InvalidDescriptionException(name + " has no class, the description marks no default,"
-                + " and the settings have no class that must never run twice");
+        throw new InvalidDescriptionException(name + " has no class, the description sets no default class,"
+                + " and the settings have no at-most-once class");
     }
 
     /** An extension of the operation, else of its path, else null. */
-    private static JsonElement nearest(String key, JsonObject operation, JsonObject pathItem) {
+    private static JsonElement findExtension(String key, JsonObject operation, JsonObject pathItem) {
         return operation.has(key) ? operation.get(key) : pathItem.get(key);
     }
 }
--- a/core/src/main/java/stonelb/description/PathSegments.java
+++ b/core/src/main/java/stonelb/description/PathSegments.java
@@ -9,18 +9,18 @@
 
     private PathSegments() {}
 
-    /** The segments of a path that begins with a slash, still encoded. */
+    /** Splits a path that begins with a slash into its segments, without decoding them. */
     static String[] split(String path) {
         return path.substring(1).split("/", -1);
     }
 
-    /** Decodes a segment, or returns it as it is where an escape is broken. */
+    /** Decodes a segment; returns it unchanged if its percent-encoding is malformed. */
     static String decodeOrKeep(String segment) {
         String decoded = decode(segment);
         return decoded == null ? segment : decoded;
     }
 
-    /** Decodes a segment; null where an escape is broken. */
+    /** Decodes a segment; null if its percent-encoding is malformed. */
     static String decode(String segment) {
         if (segment.indexOf('%') < 0) {
             return segment;
@@ -43,7 +43,7 @@
         return decoded.toString(StandardCharsets.UTF_8);
     }
 
-    /** The value of the hexadecimal digit at an index; -1 where there is none. */
+    /** The value of the hexadecimal digit at an index; -1 if there is none. */
     private static int hexDigit(byte[] bytes, int index) {
         return index < bytes.length ? Character.digit(bytes[index], HEX_RADIX) : -1;
     }
--- a/core/src/main/java/stonelb/description/References.java
+++ b/core/src/main/java/stonelb/description/References.java
@@ -18,11 +18,11 @@
     }
 
     /**
-     * Follows the references of an object; an object without one is returned as it is. Members beside a reference
+     * Resolves the references of an object; returns the object itself if it has none. The sibling members of a reference
      * override those of its target.
      *
-     * @throws InvalidDescriptionException if a reference is not local, has a broken escape, leads in a circle or has no
-     *     target
+     * @throws InvalidDescriptionException if a reference is not local, is circular, has malformed percent-encoding or has
+     *     no target
      */
     JsonObject resolve(JsonObject object) throws InvalidDescriptionException {
         JsonObject target = object;
@@ -30,8 +30,7 @@
         while (target.has(REFERENCE)) {
             String reference = target.get(REFERENCE).getAsString();
             if (!reference.startsWith("#/") || referring.size() == MAX_REFERENCE_DEPTH) {
-                throw new InvalidDescriptionException(
-                        "the reference " + reference + " is not local, or leads in a circle");
+                throw new InvalidDescriptionException("the reference " + reference + " is not local, or is circular");
             }
             referring.addFirst(target);
             target = target(reference);
@@ -42,12 +41,12 @@
         JsonObject merged = new JsonObject();
         target.entrySet().forEach(member -> merged.add(member.getKey(), member.getValue()));
         for (JsonObject overriding : referring) {
-            addMembersBesideReference(overriding, merged);
+            addSiblingMembers(overriding, merged);
         }
         return merged;
     }
 
-    private static void addMembersBesideReference(JsonObject overriding, JsonObject merged) {
+    private static void addSiblingMembers(JsonObject overriding, JsonObject merged) {
         for (Map.Entry<String, JsonElement> member : overriding.entrySet()) {
             if (!member.getKey().equals(REFERENCE)) {
                 merged.add(member.getKey(), member.getValue());
@@ -55,7 +54,7 @@
         }
     }
 
-    /** The object that a JSON pointer in URI fragment form (RFC 6901) leads to. */
+    /** The object that a JSON pointer in URI fragment form (RFC 6901) refers to. */
     private JsonObject target(String reference) throws InvalidDescriptionException {
         JsonElement target = root;
         for (String token : reference.substring(2).split("/", -1)) {
@@ -68,12 +67,12 @@
                     : null;
         }
         if (target == null || !target.isJsonObject()) {
-            throw new InvalidDescriptionException("the reference " + reference + " leads nowhere");
+            throw new InvalidDescriptionException("the reference " + reference + " has no target");
         }
         return target.getAsJsonObject();
     }
 
-    /** The member that a token of a JSON pointer names; null where a percent-escape is broken. */
+    /** The member that a token of a JSON pointer names; null if its percent-encoding is malformed. */
     private static String memberName(String token) {
         String decoded = PathSegments.decode(token);
         return decoded == null ? null : decoded.replace("~1", "/").replace("~0", "~");
--- a/core/src/main/java/stonelb/description/Routes.java
+++ b/core/src/main/java/stonelb/description/Routes.java
@@ -8,15 +8,14 @@
 import java.util.regex.Pattern;
 
 /**
- * The routes of one description, as a tree by path segment. It does not change once it is built: a new description makes
- * new routes.
+ * The routes of one description, as a tree of path segments. Not modified once it is built: a reload creates a new object.
  */
 public final class Routes {
     private static final Pattern VARIABLE = Pattern.compile("\\{[^{}]*}");
     private static final String ANY_VARIABLE = "{}";
     private static final String VARIABLE_VALUE = "(?s:.+?)";
 
-    /** The operations of the path that a request names, by method. */
+    /** The operations of the path that a request matches, by method. */
     public record Match(Map<String, Route> operations) {
 
         /** The operation for a method, or null. */
@@ -25,15 +24,15 @@
         }
 
         /** The value of the Allow header: all methods of the path. */
-        public String allow() {
+        public String allowHeader() {
             return String.join(", ", operations.keySet());
         }
     }
 
-    /** An operation with its method and its path as the description has it, including the prefix of its server. */
+    /** An operation with its method and its path template, including the server prefix. */
     public record Entry(String path, String method, Route route) {}
 
-    /** A segment with variables; {@code key} is the segment without their names. */
+    /** A segment with variables; {@code key} is the segment without the names of the variables. */
     private record Template(String key, Pattern pattern, Node node) {
 
         int literalLength() {
@@ -63,7 +62,7 @@
         return List.copyOf(entries);
     }
 
-    /** Adds the operations of a path; false where the same path, but for names of variables, is there already. */
+    /** Adds the operations of a path; false if the same path, apart from names of variables, was already added. */
     boolean add(String path, Map<String, Route> operations) {
         Node node = root;
         for (String segment : PathSegments.split(path)) {
@@ -95,21 +94,22 @@
     private static Pattern templatePattern(String key) {
         StringBuilder pattern = new StringBuilder();
         int literalStart = 0;
-        int variable = key.indexOf(ANY_VARIABLE);
-        while (variable >= 0) {
-            pattern.append(Pattern.quote(key.substring(literalStart, variable))).append(VARIABLE_VALUE);
-            literalStart = variable + ANY_VARIABLE.length();
-            variable = key.indexOf(ANY_VARIABLE, literalStart);
+        int variableStart = key.indexOf(ANY_VARIABLE);
+        while (variableStart >= 0) {
+            pattern.append(Pattern.quote(key.substring(literalStart, variableStart)))
+                    .append(VARIABLE_VALUE);
+            literalStart = variableStart + ANY_VARIABLE.length();
+            variableStart = key.indexOf(ANY_VARIABLE, literalStart);
         }
         pattern.append(Pattern.quote(key.substring(literalStart)));
         return Pattern.compile(pattern.toString());
     }
 
     /**
-     * Finds the operations of a request's path; null where there are none. Literal segments go before templates.
+     * Finds the operations of a request path; null if there are none. Literal segments take precedence over templates.
      *
-     * @throws MalformedPathException if the path has dot segments or broken escapes: a server that resolves them would
-     *     run another operation than the one that is counted here
+     * @throws MalformedPathException if the path has dot segments or malformed escapes: a server that normalizes them
+     *     would run a different operation from the one whose cost is charged here
      */
     public Match match(String path) throws MalformedPathException {
         if (!path.startsWith("/")) {
--- a/core/src/main/java/stonelb/description/ServerPrefixes.java
+++ b/core/src/main/java/stonelb/description/ServerPrefixes.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import stonelb.config.JsonValues;
 
-/** The path prefixes that the {@code servers} of a description put before its paths. */
+/** The path prefixes that the {@code servers} of a description add to its paths. */
 final class ServerPrefixes {
     private static final String SERVERS = "servers";
 
@@ -44,7 +44,7 @@
         return url;
     }
 
-    /** The path of a URL, without a slash at its end. */
+    /** The path of a URL, without a trailing slash. */
     private static String prefix(String url) throws InvalidDescriptionException {
         int schemeEnd = url.indexOf("://");
         int pathStart = url.indexOf('/', schemeEnd < 0 ? 0 : schemeEnd + 3);
--- a/core/src/main/java/stonelb/discovery/AddressListener.java
+++ b/core/src/main/java/stonelb/discovery/AddressListener.java
@@ -7,15 +7,15 @@
 public interface AddressListener {
 
     /**
-     * Takes what a list says of one endpoint.
+     * Called for each entry of a list that has an address.
      *
-     * @param endpointId number of the endpoint
-     * @param ready whether it takes new requests
-     * @param startedAtMs when it started, on the event loop's clock; 0 for long ago. It changes with each restart that
-     *     discovery reports, and only then
+     * @param endpointId id of the endpoint
+     * @param ready whether it accepts new requests
+     * @param startedAtMs when it started, on the event loop's clock; 0 for long ago. It changes
+     *     exactly when discovery reports a restart
      */
     void addressChanged(long endpointId, String name, InetSocketAddress address, boolean ready, double startedAtMs);
 
-    /** Takes the numbers of all endpoints of a complete list; those of other endpoints are not used again. */
+    /** Called with the ids of all endpoints of a complete list; other ids are not used again. */
     void retainOnly(Set<Long> endpointIds);
 }
--- a/core/src/main/java/stonelb/discovery/DiscoveryClient.java
+++ b/core/src/main/java/stonelb/discovery/DiscoveryClient.java
@@ -7,8 +7,8 @@
 import stonelb.io.RateLimitedLog;
 
 /**
- * Keeps a watch on the discovery service, which may move to another address. The old watch then goes on until the new
- * one has brought the complete list, so that the list in use is never without a source.
+ * Watches the endpoint list of the discovery service, whose address may change. The old watch then continues until the
+ * new one has received the complete list, so that the list in use is updated throughout.
  */
 public final class DiscoveryClient {
     private final EventLoop loop;
@@ -18,14 +18,14 @@
     private final SplittableRandom random;
     private DiscoveryWatch watch;
 
-    /** A watch at the new address that has no list yet, or null. */
+    /** A watch at the new address that has not received a list yet, or null. */
     private DiscoveryWatch replacement;
 
     /**
      * Creates a client that is not started.
      *
-     * @param endpoints takes the lists
-     * @param seed of the backoff, which should differ between gateways
+     * @param endpoints receives the lists
+     * @param seed of the backoff's jitter, which should differ between gateways
      */
     public DiscoveryClient(
             EventLoop loop, RateLimitedLog log, EndpointList endpoints, DecisionSettings settings, long seed) {
@@ -37,9 +37,9 @@
     }
 
     /**
-     * How many gateways ask the same discovery service. Where changes are pushed, the service is an agent on the
-     * gateway's own machine, which has no other client. The long backoff that spares a shared service would be wrong
-     * there: an endpoint that drains would get new requests for as long as the gateway backs off.
+     * How many gateways use the same discovery service. Where changes are pushed, the service is an agent on the
+     * gateway's own machine, which has no other client. The long backoff that limits the load on a shared service would
+     * be wrong there: a draining endpoint would get new requests for the whole backoff.
      */
     static int clientCount(DecisionSettings settings) {
         return settings.endpointsOnRequest() ? settings.gateways() : 1;
--- a/core/src/main/java/stonelb/discovery/DiscoveryWatch.java
+++ b/core/src/main/java/stonelb/discovery/DiscoveryWatch.java
@@ -13,35 +13,35 @@
 import stonelb.io.RateLimitedLog;
 
 /**
- * A watch on the endpoint list of a discovery service at one address, by long polling: one request after the other, each
- * with the version held, so that only changes are sent. It goes on until it is stopped.
+ * Watches the endpoint list of the discovery service at one address by long polling: one request after the other, each
+ * with the version held, so that only changes are sent. It continues until it is stopped.
  *
- * <p>After a failure the watch backs off (see {@link DiscoveryBackoff}), and its next request does not wait for a change,
- * so that a short timeout suffices. Without the random backoff, gateways that start or fail together would ask together,
- * and a service that cannot keep up would go on failing all of them.
+ * <p>After a failure the watch backs off (see {@link DiscoveryBackoff}), and its next request does not wait for a
+ * change, so that a short timeout suffices. Without the random backoff, gateways that start or fail at the same time
+ * would send their requests at the same time, and an overloaded service would keep failing for all of them.
  *
- * <p>A change has to arrive within 6 s of the time when the service had it and could be reached. The timeout of a silent
- * request, the backoff after it and the time to connect again add up to less, and so do a request without a response,
- * the longest backoff and the request after it.
+ * <p>A change must be received within 6 s of the time when the service had it and was reachable. The timeout of a
+ * request without a response, the backoff after it and the time to reconnect add up to less, and so do a request
+ * without a response, the longest backoff and the request after it.
  */
 final class DiscoveryWatch implements TimerCallback {
-    /** How long the service holds a request back while nothing has changed. */
+    /** How long the service holds a request open while nothing changes. */
     private static final int LONG_POLL_MS = 2000;
 
-    /** How long after the long poll a response may take. */
+    /** How much longer than the long poll a response may take. */
     private static final int RESPONSE_GRACE_MS = 1000;
 
-    /** Timeout of the first request on a connection, which may have to wait its turn among those of other gateways. */
+    /** Timeout of the first request on a connection, which may be queued behind those of other gateways. */
     private static final int FIRST_RESPONSE_TIMEOUT_MS = 2000;
 
-    /** The same for an agent that only this gateway asks. */
+    /** The same for an agent that only this gateway uses. */
     private static final int AGENT_FIRST_RESPONSE_TIMEOUT_MS = 200;
 
     private static final int CONNECT_TIMEOUT_MS = 250;
     private static final int MAX_RESPONSE_BYTES = 1 << 20;
     private static final int REQUEST_BYTES = 128;
 
-    /** The version that stands for none: the service sends its complete list. */
+    /** No version is held: the service sends its complete list. */
     static final long NO_VERSION = -1;
 
     private final EventLoop loop;
@@ -55,19 +55,19 @@
     private long version;
     private int consecutiveFailures;
 
-    /** The request in flight is the first one, or the first after one without a response. */
+    /** Whether the request in flight is the first one, or the first after one without a response. */
     private boolean reconnecting = true;
 
     private boolean stopped;
 
-    /** Number of the latest timer; earlier ones are ignored when they fire. */
+    /** Token of the latest timer; earlier ones are ignored when they fire. */
     private long latestTimer;
 
     /**
      * Creates a watch that is not started.
      *
-     * @param heldVersion the version of the list that {@code endpoints} has from the same service, -1 for none
-     * @param clientCount how many gateways ask the same service
+     * @param initialVersion version of the list that {@code endpoints} has from the same service, -1 for none
+     * @param clientCount how many gateways use the same service
      * @param onUpdate runs after each response that was applied; after the first one the list is up to date
      */
     DiscoveryWatch(
@@ -75,7 +75,7 @@
             RateLimitedLog log,
             InetSocketAddress address,
             EndpointList endpoints,
-            long heldVersion,
+            long initialVersion,
             int clientCount,
             SplittableRandom random,
             Runnable onUpdate) {
@@ -83,7 +83,7 @@
         this.log = log;
         this.address = address;
         this.endpoints = endpoints;
-        version = heldVersion;
+        version = initialVersion;
         this.clientCount = clientCount;
         this.random = random;
         this.onUpdate = onUpdate;
@@ -107,11 +107,11 @@
     }
 
     private void connect() {
-        WatchConnection opening = new WatchConnection();
-        connection = opening;
-        loop.connect(address, CONNECT_TIMEOUT_MS, opening, connecting -> {
-            if (!connecting.isSuccess()) {
-                onFailure(opening, "it can't be reached");
+        WatchConnection newConnection = new WatchConnection();
+        connection = newConnection;
+        loop.connect(address, CONNECT_TIMEOUT_MS, newConnection, connectResult -> {
+            if (!connectResult.isSuccess()) {
+                onFailure(newConnection, "connection attempt failed");
             }
         });
     }
@@ -120,19 +120,19 @@
         version = endpoints.apply(response.body(), address);
         consecutiveFailures = 0;
         reconnecting = false;
-        connection.answered = true;
+        connection.responseReceived = true;
         onUpdate.run();
     }
 
     /** Closes the connection and schedules the next one; ignored for a connection that is not the current one. */
-    private void onFailure(WatchConnection failed, String reason) {
-        if (failed != connection || stopped) {
+    private void onFailure(WatchConnection failedConnection, String reason) {
+        if (failedConnection != connection || stopped) {
             return;
         }
         log.warn("discovery unavailable", hostAndPort() + ", " + reason + "; using the last endpoint list");
-        failed.close();
+        failedConnection.close();
         connection = null;
-        reconnecting = !failed.answered;
+        reconnecting = !failedConnection.responseReceived;
         setTimer(DiscoveryBackoff.delayMs(consecutiveFailures++, clientCount, random));
     }
 
@@ -140,7 +140,7 @@
         loop.timers().scheduleAfter(delayMs, this, ++latestTimer);
     }
 
-    /** The end of a backoff, or the timeout of the request in flight. */
+    /** Handles the end of a backoff, or the timeout of the request in flight. */
     @Override
     public void onTimer(double now, long token) {
         if (token != latestTimer) {
@@ -151,7 +151,7 @@
         } else if (connection.extendTimeout()) {
             setTimer(RESPONSE_GRACE_MS);
         } else {
-            onFailure(connection, "it is silent");
+            onFailure(connection, "no response in time");
         }
     }
 
@@ -159,11 +159,11 @@
         if (!reconnecting) {
             return LONG_POLL_MS + RESPONSE_GRACE_MS;
         }
-        return hasOwnAgent() ? AGENT_FIRST_RESPONSE_TIMEOUT_MS : FIRST_RESPONSE_TIMEOUT_MS;
+        return usesLocalAgent() ? AGENT_FIRST_RESPONSE_TIMEOUT_MS : FIRST_RESPONSE_TIMEOUT_MS;
     }
 
-    /** Whether the service is an agent that only this gateway asks. */
-    private boolean hasOwnAgent() {
+    /** Whether the service is an agent that only this gateway uses. */
+    private boolean usesLocalAgent() {
         return clientCount == 1;
     }
 
@@ -174,7 +174,7 @@
     /** A connection to the discovery service. */
     private final class WatchConnection extends Connection {
         private final HttpParser parser = new HttpParser(true, MAX_RESPONSE_BYTES);
-        private boolean answered;
+        private boolean responseReceived;
         private boolean timeoutExtended;
 
         WatchConnection() {
@@ -195,7 +195,7 @@
             String head = "GET /catalog/members" + query() + " HTTP/1.1\r\nHost: " + hostAndPort() + "\r\n\r\n";
             request.writeCharSequence(head, StandardCharsets.US_ASCII);
             var unused = send(request); // a failed write closes the connection
-            answered = false;
+            responseReceived = false;
             timeoutExtended = false;
             setTimer(responseTimeoutMs());
         }
@@ -204,10 +204,10 @@
             return version < 0 ? "" : "?index=" + version + "&wait=" + (reconnecting ? 1 : LONG_POLL_MS);
         }
 
-        /** Extends an agent's short timeout once, where its response, perhaps a long list, has begun to arrive. */
+        /** Extends an agent's short timeout once if its response has begun to arrive, since the list may be long. */
         private boolean extendTimeout() {
-            boolean responseBegun = parser.isMidMessage() || in.size() > 0;
-            boolean extended = reconnecting && hasOwnAgent() && !timeoutExtended && responseBegun;
+            boolean responseStarted = parser.isMidMessage() || in.size() > 0;
+            boolean extended = reconnecting && usesLocalAgent() && !timeoutExtended && responseStarted;
             timeoutExtended |= extended;
             return extended;
         }
@@ -223,8 +223,8 @@
                 return;
             }
             applyList(response);
-            if (in.size() > 0) { // would be taken for the response to the next request
-                throw new MalformedInputException("it answered what was not asked");
+            if (in.size() > 0) { // would be mistaken for the response to the next request
+                throw new MalformedInputException("response without a request");
             }
             if (response.keepsAlive()) {
                 sendRequest();
@@ -234,14 +234,15 @@
         }
 
         /**
-         * Asks for the complete list next time, since the service may no longer know our version and would repeat its
-         * error. After a 5xx status the version is kept: the service is overloaded, and the complete list costs it most.
+         * Requests the complete list next time, since the service may no longer know the version held and would repeat
+         * its error. After a 5xx status the version is kept: the service is overloaded, and the complete list is the
+         * most expensive response.
          */
         private void onErrorStatus(int status) {
             if (status / 100 != 5) {
                 version = NO_VERSION;
             }
-            onFailure(this, "it answered " + status);
+            onFailure(this, "status " + status);
         }
 
         @Override
@@ -252,15 +253,15 @@
 
         @Override
         protected void onClosed() {
-            HttpMessage last = peerEnded() ? parser.end() : null;
-            if (last != null && last.status() == 200 && this == connection) {
+            HttpMessage lastResponse = peerClosedCleanly() ? parser.endOfInput() : null;
+            if (lastResponse != null && lastResponse.status() == 200 && this == connection) {
                 try {
-                    applyList(last);
+                    applyList(lastResponse);
                 } catch (MalformedInputException e) {
                     onFailure(this, e.getMessage());
                 }
             }
-            onFailure(this, "the connection ended");
+            onFailure(this, "connection closed");
         }
     }
 }
--- a/core/src/main/java/stonelb/discovery/EndpointList.java
+++ b/core/src/main/java/stonelb/discovery/EndpointList.java
@@ -21,16 +21,17 @@
 import stonelb.io.MalformedInputException;
 
 /**
- * The endpoint list of the discovery service. It turns JSON entries into {@link Endpoint}s, names into numbers and starts in
- * Unix time into the event loop's, and tells its listeners of each update. A list that is malformed in part is not applied.
+ * The endpoint list of the discovery service. It converts JSON entries to {@link Endpoint}s, names to ids and start
+ * times from Unix time to the event loop's clock, and informs its listeners of each update. A list with a malformed
+ * entry is not applied at all.
  */
 public final class EndpointList {
     private static final long NO_VERSION = -1;
 
     /**
-     * An entry of a list as it was sent.
+     * An entry of a received list.
      *
-     * @param address null where an endpoint is removed and its address left out
+     * @param address null if the endpoint is removed and its address left out
      * @param sinceMs when the endpoint started, in Unix milliseconds; 0 for long ago
      * @param zone null for none
      */
@@ -43,7 +44,7 @@
             int group,
             String zone) {}
 
-    /** A list as it was sent. */
+    /** A received list. */
     private record ParsedList(long version, List<ListEntry> entries) {}
 
     /** Zone names by index: those of the settings first, then others in the order in which lists name them. */
@@ -53,7 +54,7 @@
     private final EndpointListener endpointListener;
     private final AddressListener addressListener;
 
-    /** Numbers of the endpoints that have not been removed. */
+    /** Ids of the endpoints that have not been removed. */
     private final Map<String, Long> idsByName = new HashMap<>();
 
     private long lastId;
@@ -63,7 +64,7 @@
      * Creates an empty list.
      *
      * @param zones the zones of the settings, the gateway's own first
-     * @param startTimes converts the starts of endpoints; no other list uses it
+     * @param startTimes converts the start times of endpoints; not shared with another list
      */
     public EndpointList(
             List<String> zones,
@@ -77,9 +78,9 @@
     }
 
     /**
-     * Applies the list that was in use before this process started, until the discovery service answers.
+     * Applies the list that was in use before this process started; it is used until the discovery service responds.
      *
-     * @throws MalformedInputException if it is not such a list
+     * @throws MalformedInputException if the list is malformed
      */
     public void loadCached(JsonObject list) throws MalformedInputException {
         ParsedList parsed = parse(list);
@@ -102,7 +103,7 @@
      *
      * @param source address of the service
      * @return the version of the list
-     * @throws MalformedInputException if it is not such a list; nothing is changed then
+     * @throws MalformedInputException if the response is malformed; nothing is changed then
      */
     long apply(byte[] body, InetSocketAddress source) throws MalformedInputException {
         JsonObject list = parseJson(body);
@@ -121,7 +122,7 @@
         try {
             JsonObject list = new Gson().fromJson(new String(body, StandardCharsets.UTF_8), JsonObject.class);
             if (list == null) {
-                throw new MalformedInputException("the list is empty text");
+                throw new MalformedInputException("the list is empty");
             }
             return list;
         } catch (JsonParseException e) {
@@ -137,7 +138,7 @@
             }
             return new ParsedList((long) JsonValues.number(list, "index", NO_VERSION), entries);
         } catch (IllegalStateException | UnsupportedOperationException | ClassCastException | NumberFormatException e) {
-            throw new MalformedInputException("the list is not the JSON expected");
+            throw new MalformedInputException("the list has an unexpected JSON structure");
         }
     }
 
@@ -162,14 +163,14 @@
         };
     }
 
-    /** Tells the listeners of a list: of each address before the endpoints. */
+    /** Applies a list and informs the listeners, of each address before the endpoints. */
     private void apply(ParsedList list, EndpointListType type) {
         version = list.version();
         List<Endpoint> endpoints = new ArrayList<>();
         for (ListEntry entry : list.entries()) {
             endpoints.add(applyEntry(entry));
         }
-        forgetRemoved(endpoints);
+        discardRemoved(endpoints);
         if (type != EndpointListType.DELTA) {
             Set<Long> listedIds = endpoints.stream().map(Endpoint::id).collect(Collectors.toSet());
             idsByName.values().retainAll(listedIds);
@@ -183,7 +184,7 @@
 
     private Endpoint applyEntry(ListEntry entry) {
         long id = idsByName.computeIfAbsent(entry.name(), unused -> ++lastId);
-        double startedAtMs = startTimes.startReported(entry.name(), entry.sinceMs());
+        double startedAtMs = startTimes.resolveStartTime(entry.name(), entry.sinceMs());
         if (entry.address() != null) {
             boolean ready = entry.state() == EndpointState.READY;
             addressListener.addressChanged(id, entry.name(), entry.address(), ready, startedAtMs);
@@ -191,8 +192,11 @@
         return new Endpoint(id, entry.state(), startedAtMs, entry.weight(), entry.group(), zoneIndex(entry.zone()));
     }
 
-    /** Forgets names, which would pile up; one that comes back is a new process and gets a new number. */
-    private void forgetRemoved(List<Endpoint> endpoints) {
+    /**
+     * Discards the names of removed endpoints, which would accumulate. A name that is listed again is a new process and
+     * gets a new id.
+     */
+    private void discardRemoved(List<Endpoint> endpoints) {
         idsByName
                 .values()
                 .removeAll(endpoints.stream()
@@ -201,7 +205,9 @@
                         .toList());
     }
 
-    /** The index of a zone. One that the settings do not name gets an index of its own, and an endpoint without one 0. */
+    /**
+     * The index of a zone. A zone that the settings do not name gets a new index; an endpoint without a zone gets 0.
+     */
     private int zoneIndex(String name) {
         if (name != null && !zones.contains(name)) {
             zones.add(name);
@@ -209,7 +215,7 @@
         return Math.max(0, zones.indexOf(name));
     }
 
-    /** The name of the zone with that index, empty where there is none. */
+    /** The name of the zone with that index, or an empty string if there is none. */
     public String zoneName(int index) {
         return index < zones.size() ? zones.get(index) : "";
     }
--- a/core/src/main/java/stonelb/discovery/EndpointListener.java
+++ b/core/src/main/java/stonelb/discovery/EndpointListener.java
@@ -7,6 +7,6 @@
 /** Listens for updates of the endpoint list. */
 public interface EndpointListener {
 
-    /** Takes an update, which is a complete list or a delta. */
+    /** Called with an update, which is a complete list or a delta. */
     void endpointsChanged(EndpointListType type, List<Endpoint> endpoints);
 }
--- a/core/src/main/java/stonelb/discovery/EndpointStartTimes.java
+++ b/core/src/main/java/stonelb/discovery/EndpointStartTimes.java
@@ -7,26 +7,26 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * When the listed endpoints started, on the event loop's clock. Discovery reports starts in Unix time, which this process
- * knows only from its wall clock; that one may step at any time, while the loop's clock never does.
+ * The start times of the listed endpoints on the event loop's clock. Discovery reports start times in Unix time, which
+ * this process knows only from its wall clock. The wall clock may step at any time; the event loop's clock never steps.
  *
- * <p>A reported start is therefore converted once, when it is first listed: the age of the endpoint is read off the wall
- * clock, and its start is that age before the loop's present time. It is kept until another start is reported, so that a
- * later step of the wall clock changes nothing.
+ * <p>A reported start time is therefore converted once, when it is first listed: the age of the endpoint is computed
+ * from the wall clock and subtracted from the loop's current time. The result is kept until a different start time is
+ * reported, so that later steps of the wall clock have no effect.
  *
- * <p>A wall clock that is wrong gives a wrong age, which is bounded from both sides: an endpoint has not started in the
- * future, nor before the previous response of the same discovery service, which did not list it with that start.
+ * <p>A wrong wall clock gives a wrong age, so the result is bounded on both sides: an endpoint has not started in the
+ * future, nor before the previous response of the same discovery service, which did not list it with that start time.
  */
 public final class EndpointStartTimes {
-    /** The start of an endpoint that started long ago, as discovery reports it and as the decision engine takes it. */
+    /** The start time of an endpoint that started long ago, both in lists and for the decision engine. */
     private static final double LONG_AGO = 0;
 
-    /** A start as discovery reports it, in Unix milliseconds, and on the loop's clock. */
-    private record KnownStart(double reportedMs, double startedAtMs) {}
+    /** A start time as discovery reports it, in Unix milliseconds, and on the loop's clock. */
+    private record StartTime(double reportedMs, double startedAtMs) {}
 
     private final DoubleSupplier loopClock;
     private final DoubleSupplier wallClock;
-    private final Map<String, KnownStart> startsByName = new HashMap<>();
+    private final Map<String, StartTime> startTimesByName = new HashMap<>();
 
     /** The discovery service whose response was applied last, or null. */
     private InetSocketAddress lastSource;
@@ -34,11 +34,11 @@
     private double listAppliedAtMs;
     private double wallTimeOfListMs;
 
-    /** No endpoint with a start that is new in the present list started earlier. */
+    /** Lower bound of the start times that the current list reports for the first time. */
     private double earliestNewStartMs = LONG_AGO;
 
     /**
-     * Knows of no endpoint yet.
+     * Creates an instance without endpoints.
      *
      * @param loopClock the event loop's clock, in milliseconds
      * @param wallClock Unix time in milliseconds, which may step
@@ -48,14 +48,14 @@
         this.wallClock = wallClock;
     }
 
-    /** Creates one that reads the system's wall clock. */
+    /** Creates an instance that uses the system's wall clock. */
     public static EndpointStartTimes withSystemClock(DoubleSupplier loopClock) {
         return new EndpointStartTimes(loopClock, System::currentTimeMillis);
     }
 
     /**
-     * Begins to apply a list that was in use before this process started. It may be of any age, so that it tells nothing
-     * of endpoints that it does not name.
+     * Prepares for a list that was in use before this process started. Its age is unknown, so that an endpoint that it
+     * does not name may have started at any time.
      */
     void beginCachedList() {
         readClocks();
@@ -63,7 +63,7 @@
     }
 
     /**
-     * Begins to apply a response, complete or a delta.
+     * Prepares for a response, which is a complete list or a delta.
      *
      * @param source address of the discovery service
      */
@@ -80,35 +80,36 @@
     }
 
     /**
-     * Takes the start that an entry of the present list reports.
+     * Converts the start time that an entry of the current list reports, unless it is already known.
      *
      * @param name the endpoint's name
-     * @param reportedMs the start in Unix milliseconds; 0 for long ago, which does not tell of a restart
-     * @return the start on the loop's clock, 0 for long ago; later than before exactly if the endpoint was restarted
+     * @param reportedMs the start time in Unix milliseconds; 0 for long ago, which does not indicate a restart
+     * @return the start time on the loop's clock, 0 for long ago; later than before exactly if the endpoint was
+     *     restarted
      */
-    double startReported(String name, double reportedMs) {
-        KnownStart known = startsByName.get(name);
-        if (!(reportedMs > LONG_AGO)) { // also where it is not a number
+    double resolveStartTime(String name, double reportedMs) {
+        StartTime known = startTimesByName.get(name);
+        if (!(reportedMs > LONG_AGO)) { // also true for NaN
             return known == null ? LONG_AGO : known.startedAtMs();
         }
         if (known != null && known.reportedMs() == reportedMs) {
             return known.startedAtMs();
         }
-        double startedAtMs = newStart(reportedMs);
+        double startedAtMs = convertStartTime(reportedMs);
         if (known != null) {
             startedAtMs = Math.max(startedAtMs, Math.nextUp(known.startedAtMs()));
         }
-        startsByName.put(name, new KnownStart(reportedMs, startedAtMs));
+        startTimesByName.put(name, new StartTime(reportedMs, startedAtMs));
         return startedAtMs;
     }
 
-    private double newStart(double reportedMs) {
+    private double convertStartTime(double reportedMs) {
         double ageMs = Math.max(0, wallTimeOfListMs - reportedMs);
         return Math.max(listAppliedAtMs - ageMs, earliestNewStartMs);
     }
 
-    /** Forgets all endpoints but these. */
+    /** Discards all endpoints except these. */
     void retainOnly(Collection<String> names) {
-        startsByName.keySet().retainAll(names);
+        startTimesByName.keySet().retainAll(names);
     }
 }
--- a/core/src/main/java/stonelb/http/HttpMessage.java
+++ b/core/src/main/java/stonelb/http/HttpMessage.java
@@ -6,26 +6,32 @@
 /**
  * A complete HTTP/1.1 message.
  *
- * @param first of the start line: the method of a request, the version of a response
- * @param second of the start line: the target of a request, the status code of a response
- * @param third of the start line: the version of a request, the reason phrase of a response, which may be empty
- * @param headers by name in lower case; the values of repeated headers are joined by a comma and a space, those of
+ * @param methodOrVersion first part of the start line: method of a request, version of a response
+ * @param targetOrStatusCode second part of the start line: target of a request, status code of a response
+ * @param versionOrReason third part of the start line: version of a request, reason phrase of a response, which may be
+ *     empty
+ * @param headers by lower-case name; the values of repeated headers are joined by a comma and a space, those of
  *     Set-Cookie by a line feed
  * @param body without transfer coding
  */
 // Messages are not compared, and a copy of each body would cost time on every request.
 @SuppressWarnings("ArrayRecordComponent")
-public record HttpMessage(String first, String second, String third, Map<String, String> headers, byte[] body) {
+public record HttpMessage(
+        String methodOrVersion,
+        String targetOrStatusCode,
+        String versionOrReason,
+        Map<String, String> headers,
+        byte[] body) {
 
     /** The status code of a response. */
     public int status() {
-        return Integer.parseInt(second);
+        return Integer.parseInt(targetOrStatusCode);
     }
 
-    /** Whether its sender takes another message on the same connection. */
+    /** Whether the sender keeps the connection open after this message. */
     public boolean keepsAlive() {
         String connectionHeader = headers.getOrDefault("connection", "").toLowerCase(Locale.ROOT);
-        boolean isHttp10 = first.equals("HTTP/1.0") || third.equals("HTTP/1.0");
+        boolean isHttp10 = methodOrVersion.equals("HTTP/1.0") || versionOrReason.equals("HTTP/1.0");
         return isHttp10 ? connectionHeader.contains("keep-alive") : !connectionHeader.contains("close");
     }
 }
--- a/core/src/main/java/stonelb/http/HttpParser.java
+++ b/core/src/main/java/stonelb/http/HttpParser.java
@@ -39,7 +39,7 @@
 
     private State state = State.START_LINE;
 
-    /** Bytes of the current line that are known to hold no line feed. */
+    /** Bytes of the current line that are known to contain no line feed. */
     private int scannedBytes;
 
     private String[] startLine;
@@ -51,15 +51,15 @@
     private int remainingBytes;
 
     /**
-     * Creates a parser of responses or, where {@code readsResponses} is false, of requests. Bodies of more than {@code
-     * maxBodyBytes} are malformed.
+     * Creates a parser of responses or, if {@code readsResponses} is false, of requests. Bodies larger than {@code
+     * maxBodyBytes} are rejected as malformed.
      */
     public HttpParser(boolean readsResponses, int maxBodyBytes) {
         this.readsResponses = readsResponses;
         this.maxBodyBytes = maxBodyBytes;
     }
 
-    /** Sets whether the responses to come have no body whatever length they state, as responses to HEAD have none. */
+    /** Sets whether the following responses have no body regardless of their Content-Length, as responses to HEAD do. */
     public void expectBodiless(boolean expected) {
         withoutBody = expected;
     }
@@ -69,12 +69,12 @@
         return state != State.START_LINE || scannedBytes > 0;
     }
 
-    /** The bytes of an incomplete body that have been taken off the input buffer. */
+    /** The number of bytes of an incomplete body that were moved out of the input buffer. */
     public int bufferedBytes() {
         return body == null ? 0 : body.size();
     }
 
-    /** Whether the head of a message is complete and its body is not. */
+    /** Whether the head of a message is complete but its body is not. */
     public boolean awaitsBody() {
         return state != State.START_LINE && state != State.HEADERS;
     }
@@ -85,9 +85,9 @@
     }
 
     /**
-     * Takes the next complete message off the input, or returns null where more input is needed.
+     * Parses and consumes the next complete message, or returns null if more input is needed.
      *
-     * @throws MalformedInputException if the input breaks the protocol or a limit; the parser is of no further use
+     * @throws MalformedInputException if the input violates the protocol or a limit; the parser must not be used again
      */
     public HttpMessage next(InputBuffer in) throws MalformedInputException {
         while (true) {
@@ -121,11 +121,11 @@
     }
 
     /** Returns the message that the end of the connection completes, or null. */
-    public HttpMessage end() {
+    public HttpMessage endOfInput() {
         return state == State.BODY_UNTIL_CLOSE ? completeMessage() : null;
     }
 
-    /** Reads what there is of the body or chunk; whether it is complete. */
+    /** Reads the available part of the body or chunk; returns whether it is complete. */
     private boolean readBody(InputBuffer in) {
         int length = Math.min(remainingBytes, in.size());
         moveToBody(in, length);
@@ -138,7 +138,7 @@
         in.skip(length);
     }
 
-    /** Parses a line in one of the states that read lines; the message that it completes, or null. */
+    /** Parses a line in one of the line-based states; returns the message that it completes, or null. */
     private HttpMessage parseLine(String line) throws MalformedInputException {
         switch (state) {
             case START_LINE -> {
@@ -193,7 +193,7 @@
 
     private void parseHeader(String line) throws MalformedInputException {
         int colon = line.indexOf(':');
-        // Another server may take a bare carriage return for the end of the line and so see two headers.
+        // Another server may treat a bare carriage return as a line end and so see two headers.
         boolean bareCarriageReturn = line.indexOf('\r') >= 0;
         if (bareCarriageReturn
                 || colon <= 0
@@ -208,22 +208,22 @@
     }
 
     private void addHeader(String name, String value) throws MalformedInputException {
-        String earlier = headers.put(name, value);
-        if (earlier == null) {
+        String previous = headers.put(name, value);
+        if (previous == null) {
             return;
         }
         if (name.equals("content-length")) {
-            if (!earlier.equals(value)) {
+            if (!previous.equals(value)) {
                 throw new MalformedInputException("a message states two lengths");
             }
             return;
         }
         // Set-Cookie values cannot be joined by a comma; a line feed separates them, which no value contains.
         String separator = name.equals("set-cookie") ? "\n" : ", ";
-        headers.put(name, earlier + separator + value);
+        headers.put(name, previous + separator + value);
     }
 
-    /** Decides by the complete head how the body is delimited; a message without a body is returned. */
+    /** Determines from the complete head how the body is delimited; returns the message if it has no body. */
     private HttpMessage finishHead() throws MalformedInputException {
         body = new ByteArrayOutputStream(INITIAL_BODY_BYTES);
         int status = readsResponses ? Integer.parseInt(startLine[1]) : 0;
@@ -253,8 +253,8 @@
     }
 
     private void parseChunkSize(String line) throws MalformedInputException {
-        int extensions = line.indexOf(';');
-        String size = extensions < 0 ? line : line.substring(0, extensions);
+        int extensionStart = line.indexOf(';');
+        String size = extensionStart < 0 ? line : line.substring(0, extensionStart);
         remainingBytes = parseLength(size.strip(), 16);
         checkBodySize(remainingBytes);
         state = remainingBytes == 0 ? State.TRAILERS : State.CHUNK_DATA;
@@ -267,7 +267,7 @@
     }
 
     private void checkBodySize(int additionalBytes) throws MalformedInputException {
-        // The sum could overflow: a chunk may state any size up to Integer.MAX_VALUE.
+        // The sum could overflow: a chunk may declare any size up to Integer.MAX_VALUE.
         if (additionalBytes > maxBodyBytes - body.size()) {
             throw new MalformedInputException("a body is larger than " + maxBodyBytes + " bytes");
         }
@@ -279,21 +279,21 @@
                 return Integer.parseInt(text, radix);
             }
         } catch (NumberFormatException e) {
-            // too large for an int: reported below, together with text that holds no digits
+            // too large for an int: rejected below, like text without digits
         }
         throw new MalformedInputException("a length is not a number in bounds");
     }
 
     private HttpMessage completeMessage() {
-        String thirdPart = startLine.length > 2 ? startLine[2] : "";
-        HttpMessage message = new HttpMessage(startLine[0], startLine[1], thirdPart, headers, body.toByteArray());
+        String versionOrReason = startLine.length > 2 ? startLine[2] : "";
+        HttpMessage message = new HttpMessage(startLine[0], startLine[1], versionOrReason, headers, body.toByteArray());
         state = State.START_LINE;
         body = null;
         trailerCount = 0;
         return message;
     }
 
-    /** Takes a line off the input, without its end; null where it is incomplete. */
+    /** Consumes a line and returns it without its line end; null if it is incomplete. */
     private String readLine(InputBuffer in) throws MalformedInputException {
         int end = in.lineEnd(scannedBytes);
         if ((end < 0 ? in.size() : end) > MAX_LINE_BYTES) {
--- a/core/src/main/java/stonelb/http/HttpWriter.java
+++ b/core/src/main/java/stonelb/http/HttpWriter.java
@@ -38,7 +38,7 @@
         return REASONS.getOrDefault(status, "Status");
     }
 
-    /** Writes a response with its body; {@code close} tells the client that the connection ends after it. */
+    /** Writes a response with its body; {@code close} announces to the client that the connection closes after it. */
     public static void response(ByteBuf out, int status, Map<String, String> headers, byte[] body, boolean close) {
         writeStatusLine(out, status);
         writeHeaders(out, headers, NO_HEADER, "content-length");
@@ -48,7 +48,7 @@
         out.writeBytes(body);
     }
 
-    /** Writes the response to a HEAD request: with the Content-Length that the endpoint stated, and no body. */
+    /** Writes the response to a HEAD request: with the Content-Length that the endpoint sent, and no body. */
     public static void headResponse(ByteBuf out, int status, Map<String, String> headers, boolean close) {
         writeStatusLine(out, status);
         writeHeaders(out, headers, NO_HEADER, NO_HEADER);
@@ -76,26 +76,26 @@
         }
     }
 
-    /** Writes the end-to-end headers, except for two that the caller writes itself. */
+    /** Writes the end-to-end headers, except for two that the caller writes. */
     private static void writeHeaders(
             ByteBuf out, Map<String, String> headers, String firstExcluded, String secondExcluded) {
-        // The Connection header names further headers that concern this connection alone.
+        // The Connection header names further hop-by-hop headers.
         String connectionOptions =
                 headers.getOrDefault("connection", "").toLowerCase(Locale.ROOT).replace(" ", "");
         String delimitedOptions = "," + connectionOptions + ",";
         headers.forEach((name, value) -> {
-            String key = name.toLowerCase(Locale.ROOT);
-            if (!HOP_BY_HOP.contains(key)
-                    && !key.equals(firstExcluded)
-                    && !key.equals(secondExcluded)
-                    && !delimitedOptions.contains("," + key + ",")) {
+            String lowerCaseName = name.toLowerCase(Locale.ROOT);
+            if (!HOP_BY_HOP.contains(lowerCaseName)
+                    && !lowerCaseName.equals(firstExcluded)
+                    && !lowerCaseName.equals(secondExcluded)
+                    && !delimitedOptions.contains("," + lowerCaseName + ",")) {
                 writeHeader(out, name, value);
             }
         });
     }
 
     /** Writes a header line for each line of the value, see {@link HttpMessage#headers}. */
-    // Empty values at the end are dropped, as String.split does.
+    // Trailing empty values are dropped, as String.split does.
     @SuppressWarnings("StringSplitter")
     private static void writeHeader(ByteBuf out, String name, String value) {
         for (String line : value.split("\n")) {
--- a/core/src/main/java/stonelb/io/AcceptFailureHandler.java
+++ b/core/src/main/java/stonelb/io/AcceptFailureHandler.java
@@ -6,12 +6,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Keeps a listening channel accepting when the system fails to accept a connection (ECONNABORTED, EMFILE, ENFILE,
+ * Resumes accepting on a listening channel after the system failed to accept a connection (ECONNABORTED, EMFILE, ENFILE,
  * ENOBUFS).
  *
- * <p>Netty's own handler stops accepting for a second, in which requests on connections in the backlog miss their
- * deadlines. This one, which comes before it and passes no failure on, pauses for some milliseconds: the failure is mostly
- * over at once, and a pause that grows while it lasts keeps the event loop from spinning.
+ * <p>Netty's own handler stops accepting for a second, during which requests on connections in the backlog miss their
+ * deadlines. This handler precedes it, does not propagate the failure, and pauses for a few milliseconds only, since most
+ * of these failures are momentary. The pause doubles while the failure persists, so that the event loop does not spin.
  */
 final class AcceptFailureHandler extends ChannelInboundHandlerAdapter {
     private static final long MIN_PAUSE_MS = 1;
--- a/core/src/main/java/stonelb/io/ChannelProvider.java
+++ b/core/src/main/java/stonelb/io/ChannelProvider.java
@@ -4,7 +4,7 @@
 import io.netty.channel.socket.SocketChannel;
 
 /**
- * Creates the channels of an {@link EventLoop}. The system may refuse to create a socket for a moment, for example at its
+ * Creates the channels of an {@link EventLoop}. The creation of a socket may fail temporarily, for example at the system's
  * limit on file descriptors.
  */
 public interface ChannelProvider {
@@ -12,6 +12,6 @@
     /** Creates a channel for an outbound connection. */
     SocketChannel newSocketChannel();
 
-    /** Creates a channel that listens. */
+    /** Creates a listening channel. */
     ServerSocketChannel newServerSocketChannel();
 }
--- a/core/src/main/java/stonelb/io/ConnectListener.java
+++ b/core/src/main/java/stonelb/io/ConnectListener.java
@@ -1,8 +1,8 @@
 package stonelb.io;
 
-/** Listens for the end of a connect, on the event loop and never from within the call that began it. */
+/** Receives the result of a connect, on the event loop and never from within the call that started it. */
 public interface ConnectListener {
 
-    /** Takes the result; called once. */
+    /** Called once with the result. */
     void onConnectResult(ConnectResult result);
 }
--- a/core/src/main/java/stonelb/io/ConnectResult.java
+++ b/core/src/main/java/stonelb/io/ConnectResult.java
@@ -3,12 +3,12 @@
 import java.net.ConnectException;
 
 /**
- * How a connect ended.
+ * The result of a connect.
  *
  * @param cause why it failed, or null if the connection is open
- * @param failedAtOnce whether the system failed the call itself, before the network could answer
+ * @param failedImmediately whether the system failed the call itself, before the network could answer
  */
-public record ConnectResult(Throwable cause, boolean failedAtOnce) {
+public record ConnectResult(Throwable cause, boolean failedImmediately) {
 
     /** Whether the connection is open. */
     public boolean isSuccess() {
@@ -16,10 +16,10 @@
     }
 
     /**
-     * Whether the failure tells nothing of the peer: no socket, local port or route could be had (ENFILE, ENOBUFS,
-     * EADDRNOTAVAIL, ENETUNREACH). On the loopback interface a peer's refusal may come at once too.
+     * Whether the failure is local and says nothing about the peer: no socket, local port or route was available (ENFILE,
+     * ENOBUFS, EADDRNOTAVAIL, ENETUNREACH). On the loopback interface a refusal by the peer may be immediate too.
      */
     public boolean isLocalFailure() {
-        return failedAtOnce && !(cause instanceof ConnectException);
+        return failedImmediately && !(cause instanceof ConnectException);
     }
 }
--- a/core/src/main/java/stonelb/io/Connection.java
+++ b/core/src/main/java/stonelb/io/Connection.java
@@ -12,7 +12,7 @@
  * input by {@link InputBuffer#skip}.
  */
 public abstract class Connection extends ChannelInboundHandlerAdapter {
-    /** The input that is not consumed yet. */
+    /** The unconsumed input. */
     protected final InputBuffer in;
 
     /** The log of the program. */
@@ -20,12 +20,12 @@
 
     private Channel channel;
     private boolean closed;
-    private int readsInTurn;
+    private int readsInIteration;
 
-    /** Closed by this side, by a reset or by a failed write: not by the peer's regular end of its output. */
+    /** Closed by this side, by a reset or by a failed write, rather than by the peer's orderly shutdown. */
     private boolean aborted;
 
-    /** Creates a connection that is not open; {@code maxInputBytes} bounds the input that is not consumed. */
+    /** Creates a connection that is not yet open; {@code maxInputBytes} bounds the unconsumed input. */
     protected Connection(int maxInputBytes, RateLimitedLog log) {
         in = new InputBuffer(maxInputBytes);
         this.log = log;
@@ -37,18 +37,18 @@
     /**
      * Called when bytes have been added to {@link #in}.
      *
-     * @throws MalformedInputException if the input breaks the protocol
+     * @throws MalformedInputException if the input violates the protocol
      */
     protected abstract void onReceived() throws MalformedInputException;
 
     /**
-     * Called after the reads of one turn of the event loop.
+     * Called after the reads of one event-loop iteration.
      *
-     * @param drained whether all input that had arrived was read; if not, the next turn goes on reading
+     * @param drained whether all input that had arrived was read; if not, reading continues in the next iteration
      */
     protected void onReadComplete(boolean drained) {}
 
-    /** Called when the input breaks the protocol or the limit of the buffer. */
+    /** Called when the input violates the protocol or exceeds the limit of the buffer. */
     protected abstract void onMalformed(String reason);
 
     /** Called once when an open connection has been closed by either side. */
@@ -64,12 +64,12 @@
         return channel != null && !closed && channel.isActive();
     }
 
-    /** A new output buffer of that initial size in bytes. */
+    /** Allocates an output buffer of the given initial size in bytes. */
     protected final ByteBuf buffer(int size) {
         return channel.alloc().buffer(size);
     }
 
-    /** Writes and flushes; the buffer is released. */
+    /** Writes and flushes the buffer, which is then released. */
     protected final ChannelFuture send(ByteBuf out) {
         ChannelFuture write = channel.writeAndFlush(out);
         if (!write.isSuccess()) {
@@ -78,8 +78,8 @@
         return write;
     }
 
-    /** Whether the peer ended its output in the regular way, so that what it sent is complete. */
-    protected final boolean peerEnded() {
+    /** Whether the peer closed the connection in an orderly way, so that the input received is complete. */
+    protected final boolean peerClosedCleanly() {
         return closed && !aborted;
     }
 
@@ -87,7 +87,7 @@
     public final void close() {
         if (channel != null) {
             aborted |= channel.isActive();
-            var unused = channel.close(); // channelInactive tells of the end
+            var unused = channel.close(); // channelInactive reports the close
         }
     }
 
@@ -100,7 +100,7 @@
     @Override
     public final void channelRead(ChannelHandlerContext context, Object message) {
         ByteBuf bytes = (ByteBuf) message;
-        readsInTurn++;
+        readsInIteration++;
         try {
             if (!closed) {
                 in.append(bytes);
@@ -115,8 +115,8 @@
 
     @Override
     public final void channelReadComplete(ChannelHandlerContext context) {
-        boolean drained = readsInTurn < EventLoop.MAX_READS_PER_TURN;
-        readsInTurn = 0;
+        boolean drained = readsInIteration < EventLoop.MAX_READS_PER_ITERATION;
+        readsInIteration = 0;
         if (!closed) {
             onReadComplete(drained);
         }
@@ -136,6 +136,6 @@
         if (!(cause instanceof IOException)) {
             log.internalError(cause);
         }
-        var unused = context.close(); // channelInactive tells of the end
+        var unused = context.close(); // channelInactive reports the close
     }
 }
--- a/core/src/main/java/stonelb/io/EventLoop.java
+++ b/core/src/main/java/stonelb/io/EventLoop.java
@@ -22,14 +22,14 @@
 import java.util.function.Supplier;
 import stonelb.core.TimerQueue;
 
-/** The single event-loop thread, to which all connections and timers belong, with the clock and alarm of its timers. */
+/** The single event-loop thread that runs all connections and timers, with the clock and the alarm of the timers. */
 public final class EventLoop implements TimerQueue.Alarm, InputClock {
     private static final int READ_BYTES = 16 * 1024;
 
-    /** Reads of one connection before the others have their turn. */
-    static final int MAX_READS_PER_TURN = 8;
+    /** Maximum reads of one connection per loop iteration, so that the other connections are read too. */
+    static final int MAX_READS_PER_ITERATION = 8;
 
-    /** Bytes in network buffers for one client, from and below which its connection does and does not take more. */
+    /** Limits on the output buffered for one client, in bytes: unwritable above the high one, writable below the low one. */
     private static final WriteBufferWaterMark WRITE_BUFFER_LIMITS = new WriteBufferWaterMark(8 * 1024, 32 * 1024);
 
     private static final int LISTEN_BACKLOG = 512;
@@ -46,17 +46,17 @@
     private double lastReadAt;
     private long completedReads;
 
-    /** Creates a loop on the system's clock: Unix time in milliseconds, which never steps back. */
+    /** Creates a loop with the system clock: monotonic Unix time in milliseconds. */
     public EventLoop(RateLimitedLog log) {
         this(log, systemClock());
     }
 
-    /** Creates a loop on a clock that gives milliseconds. */
+    /** Creates a loop with a clock in milliseconds. */
     public EventLoop(RateLimitedLog log, DoubleSupplier clock) {
         this(log, clock, new NioChannelProvider());
     }
 
-    /** Creates a loop on a clock that gives milliseconds, with channels of the provider. */
+    /** Creates a loop with a clock in milliseconds and the channels of a provider. */
     public EventLoop(RateLimitedLog log, DoubleSupplier clock, ChannelProvider channels) {
         this.log = log;
         this.clock = clock;
@@ -73,8 +73,8 @@
         return new InputTimeIoHandler(nio, this::onInputRead);
     }
 
-    private void onInputRead(double tookMs) {
-        lastReadAt = now() - tookMs;
+    private void onInputRead(double processingMs) {
+        lastReadAt = now() - processingMs;
         completedReads++;
     }
 
@@ -102,7 +102,7 @@
         nettyLoop.execute(task);
     }
 
-    /** Ends the thread at once, and with it all connections and timers. */
+    /** Shuts down the thread, all connections and all timers, without a quiet period. */
     public void shutdown() {
         var unused = loopGroup.shutdownGracefully(0, SHUTDOWN_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
@@ -132,7 +132,7 @@
         }
     }
 
-    /** Opens a connection; {@code listener} is told whether that succeeded. */
+    /** Opens a connection; {@code listener} receives the result. */
     public void connect(InetSocketAddress address, int timeoutMs, ChannelHandler connection, ConnectListener listener) {
         ChannelFuture connecting = new Bootstrap()
                 .group(nettyLoop)
@@ -142,8 +142,8 @@
                 .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(READ_BYTES))
                 .handler(connection)
                 .connect(address);
-        // After Netty's own task, which makes the call. A future without a socket has no event loop and would notify
-        // its listeners on a thread of Netty's.
+        // Runs after Netty's own task, which makes the system call. If no socket could be created, the future has no
+        // event loop and would notify its listeners on a different Netty thread.
         nettyLoop.execute(() -> notifyResult(connecting, listener));
     }
 
@@ -158,9 +158,10 @@
     /**
      * Listens for connections and returns once the port is bound.
      *
-     * @param connections creates the handler of each accepted connection
+     * @param handlerFactory creates the handler of each accepted connection
      */
-    public Channel listen(InetSocketAddress address, Supplier<ChannelHandler> connections) throws InterruptedException {
+    public Channel listen(InetSocketAddress address, Supplier<ChannelHandler> handlerFactory)
+            throws InterruptedException {
         return new ServerBootstrap()
                 .group(nettyLoop)
                 .channelFactory(channels::newServerSocketChannel)
@@ -173,7 +174,7 @@
                 .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(connections.get());
+                        channel.pipeline().addLast(handlerFactory.get());
                     }
                 })
                 .bind(address)
@@ -181,10 +182,10 @@
                 .channel();
     }
 
-    /** Reads until there is no more input, so that the end of a connection is seen along with what came before it. */
+    /** Reads until no input is left, so that the end of a connection is detected together with the input before it. */
     private static RecvByteBufAllocator readUntilDrained() {
         return new FixedRecvByteBufAllocator(READ_BYTES)
                 .respectMaybeMoreData(false)
-                .maxMessagesPerRead(MAX_READS_PER_TURN);
+                .maxMessagesPerRead(MAX_READS_PER_ITERATION);
     }
 }
--- a/core/src/main/java/stonelb/io/FileFingerprint.java
+++ b/core/src/main/java/stonelb/io/FileFingerprint.java
@@ -7,15 +7,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The attributes that tell one state of a file from another without reading it.
+ * File attributes that reveal a change of the file without reading its content.
  *
- * @param key the file's inode where the file system has one
+ * @param fileKey the file's inode, or null if the file system has none
  * @param modifiedNanos time of the last modification
  * @param bytes length of the file
  */
-public record FileFingerprint(Object key, long modifiedNanos, long bytes) {
+public record FileFingerprint(Object fileKey, long modifiedNanos, long bytes) {
 
-    /** The fingerprint of the file as it is now, or null where there is none. */
+    /** The current fingerprint of the file, or null if its attributes can't be read. */
     public static FileFingerprint of(Path file) {
         try {
             BasicFileAttributes attributes = Files.readAttributes(file, BasicFileAttributes.class);
