--- a/core/src/main/java/stonelb/io/InputBuffer.java
+++ b/core/src/main/java/stonelb/io/InputBuffer.java
@@ -5,14 +5,14 @@
 import java.util.Arrays;
 
 /**
- * The input of a connection that is not consumed yet. The buffer grows up to a limit, and is compacted in place. Indexes
- * count from the first byte not consumed.
+ * The unconsumed input of a connection. The buffer grows up to a limit, and is compacted in place. Indexes are relative to
+ * the first unconsumed byte.
  */
 public final class InputBuffer {
     private static final int INITIAL_BYTES = 4096;
 
-    /** A larger array is given back once all input is consumed. */
-    private static final int MAX_KEPT_BYTES = 16 * INITIAL_BYTES;
+    /** A larger array is replaced by an initial one once all input is consumed. */
+    private static final int MAX_RETAINED_BYTES = 16 * INITIAL_BYTES;
 
     private final int maxBytes;
     private byte[] bytes = new byte[INITIAL_BYTES];
@@ -24,12 +24,12 @@
         this.maxBytes = maxBytes;
     }
 
-    /** The number of bytes that are not consumed. */
+    /** The number of unconsumed bytes. */
     public int size() {
         return writeIndex - readIndex;
     }
 
-    /** The memory that the buffer takes, in bytes. */
+    /** The allocated size of the buffer in bytes. */
     public int capacity() {
         return bytes.length;
     }
@@ -42,7 +42,7 @@
     /**
      * Appends all readable bytes of {@code input}.
      *
-     * @throws MalformedInputException if more than the limit would wait
+     * @throws MalformedInputException if the unconsumed input would exceed the limit
      */
     public void append(ByteBuf input) throws MalformedInputException {
         int length = input.readableBytes();
@@ -54,7 +54,7 @@
     /**
      * Appends a part of an array.
      *
-     * @throws MalformedInputException if more than the limit would wait
+     * @throws MalformedInputException if the unconsumed input would exceed the limit
      */
     public void append(byte[] input, int offset, int length) throws MalformedInputException {
         ensureCapacity(length);
@@ -103,7 +103,7 @@
         if (readIndex == writeIndex) {
             readIndex = 0;
             writeIndex = 0;
-            if (bytes.length > MAX_KEPT_BYTES) {
+            if (bytes.length > MAX_RETAINED_BYTES) {
                 bytes = new byte[INITIAL_BYTES];
             }
         }
--- a/core/src/main/java/stonelb/io/InputClock.java
+++ b/core/src/main/java/stonelb/io/InputClock.java
@@ -1,8 +1,8 @@
 package stonelb.io;
 
 /**
- * The clock of an event loop, and when the loop last read its connections. Between two reads nothing is known of what
- * arrived when, which matters where the loop was held up.
+ * The clock of an event loop, and the time at which the loop last read its connections. When input arrived between two
+ * reads is unknown, which matters if the loop was delayed.
  */
 public interface InputClock {
 
@@ -10,12 +10,12 @@
     double now();
 
     /**
-     * When the sockets were last looked at, after which all input that had arrived was read. Input that came later waits,
-     * and so do ends of connections. During a read this is the time before the present one, so that what is read has
-     * arrived since.
+     * The time of the last completed read of all sockets: input that arrived by then has been read, and later input and
+     * connection closes have not. During a read this is the time of the previous one, after which the input being read has
+     * arrived.
      */
     double lastReadAt();
 
-    /** How many times all connections have been read. */
+    /** The number of times that all connections have been read. */
     long completedReads();
 }
--- a/core/src/main/java/stonelb/io/InputTimeIoHandler.java
+++ b/core/src/main/java/stonelb/io/InputTimeIoHandler.java
@@ -6,20 +6,20 @@
 import io.netty.channel.IoRegistration;
 import java.util.function.DoubleConsumer;
 
-/** An I/O handler that tells, when another one has processed all I/O that was ready, how long that took. */
+/** A delegating I/O handler that reports, after all ready I/O has been processed, how long that took. */
 final class InputTimeIoHandler implements IoHandler {
     private static final double NANOS_PER_MS = 1e6;
 
     private final IoHandler delegate;
     private final DoubleConsumer onProcessed;
 
-    /** Creates a handler that gives {@code onProcessed} the milliseconds since the wait for I/O was over. */
+    /** Creates a handler that passes to {@code onProcessed} the milliseconds since the wait for I/O returned. */
     InputTimeIoHandler(IoHandler delegate, DoubleConsumer onProcessed) {
         this.delegate = delegate;
         this.onProcessed = onProcessed;
     }
 
-    /** Has the handler measure its active time, which begins when its wait has returned. */
+    /** Makes the delegate report its active time, which begins when its wait for I/O returns. */
     private static final class MeasuringContext implements IoHandlerContext {
         private final IoHandlerContext delegate;
         private long activeNanos;
--- a/core/src/main/java/stonelb/io/MalformedInputException.java
+++ b/core/src/main/java/stonelb/io/MalformedInputException.java
@@ -1,6 +1,6 @@
 package stonelb.io;
 
-/** Input that breaks a protocol or a limit. Its message quotes no input, so it is safe to log. */
+/** Thrown for input that violates a protocol or a limit. The message quotes no input, so it is safe to log. */
 public final class MalformedInputException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/core/src/main/java/stonelb/io/NioChannelProvider.java
+++ b/core/src/main/java/stonelb/io/NioChannelProvider.java
@@ -5,7 +5,7 @@
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
 
-/** Creates channels on the sockets of the system. */
+/** Creates NIO channels. */
 final class NioChannelProvider implements ChannelProvider {
     @Override
     public SocketChannel newSocketChannel() {
--- a/core/src/main/java/stonelb/io/RateLimitedLog.java
+++ b/core/src/main/java/stonelb/io/RateLimitedLog.java
@@ -5,8 +5,8 @@
 import java.util.function.Consumer;
 
 /**
- * A log whose warnings are written at most once a second per kind, with a count of those that were left out. It belongs to
- * one thread, but for {@link #info}.
+ * A log that writes at most one warning per second and kind, with the count of suppressed ones. Confined to one thread,
+ * except for {@link #info}.
  */
 public final class RateLimitedLog {
     private static final long MIN_INTERVAL_NANOS = 1_000_000_000L;
@@ -25,17 +25,17 @@
         this(line -> System.err.println(PREFIX + line));
     }
 
-    /** Creates a log that hands its lines to {@code sink}, for programs with a logging library. */
+    /** Creates a log that passes its lines to {@code sink}, for programs with a logging library. */
     public RateLimitedLog(Consumer<String> sink) {
         this.sink = sink;
     }
 
-    /** Writes a line in any case: starts, ends, changes of configuration. */
+    /** Writes a line without a rate limit: starts, stops, changes of configuration. */
     public void info(String line) {
         sink.accept(line);
     }
 
-    /** Writes a warning that may come often. Kinds must be constants, since each takes memory for good. */
+    /** Writes a warning, subject to the rate limit. Kinds must be constants, since their state is never released. */
     public void warn(String kind, String detail) {
         WarningKind state = kinds.computeIfAbsent(kind, unused -> new WarningKind());
         long now = System.nanoTime();
@@ -48,7 +48,7 @@
         state.suppressed = 0;
     }
 
-    /** Warns of an exception that points to a fault in this program, with the place where it was thrown. */
+    /** Warns of an exception that indicates a bug in this program, with the place where it was thrown. */
     public void internalError(Throwable error) {
         StackTraceElement[] trace = error.getStackTrace();
         warn("internal error", error + " at " + (trace.length > 0 ? trace[0] : "?"));
--- a/core/src/test/java/stonelb/core/CorePackageImportsTest.java
+++ b/core/src/test/java/stonelb/core/CorePackageImportsTest.java
@@ -10,15 +10,18 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The core package knows no protocol: it uses the standard library, the decision engine and itself, and no bytes. */
+/**
+ * The core package must stay independent of protocols and I/O: it imports only standard collections and the decision
+ * engine, and handles no byte arrays.
+ */
 class CorePackageImportsTest {
 
     @Test
     void importsNoProtocolOrIoPackage() throws IOException {
-        int files = 0;
-        try (Stream<Path> all = Files.list(Path.of("src/main/java/stonelb/core"))) {
-            for (Path file : all.toList()) {
-                files++;
+        int fileCount = 0;
+        try (Stream<Path> sourceFiles = Files.list(Path.of("src/main/java/stonelb/core"))) {
+            for (Path file : sourceFiles.toList()) {
+                fileCount++;
                 List<String> lines = Files.readAllLines(file);
                 assertEquals(
                         List.of(),
@@ -32,6 +35,6 @@
                         file.toString());
             }
         }
-        assertTrue(files >= 5, "the core's sources were found");
+        assertTrue(fileCount >= 5, "source files of the core package not found");
     }
 }
--- a/core/src/test/java/stonelb/core/RequestTableTest.java
+++ b/core/src/test/java/stonelb/core/RequestTableTest.java
@@ -21,15 +21,18 @@
 import stonelb.decision.RequestClass;
 import stonelb.decision.SlowStart;
 
-/** The request table on a simulated clock: one final response each, one attempt in flight, none after its deadline. */
+/**
+ * The request table on a simulated clock: each request gets one final response and has at most one attempt in flight,
+ * and no attempt outlives its deadline.
+ */
 class RequestTableTest {
     private static final int READ = 0;
-    private static final int LOG = 1;
+    private static final int WRITE = 1;
 
     private double clock = 1000;
-    private final List<Attempt> started = new ArrayList<>();
-    private final List<Attempt> abandoned = new ArrayList<>();
-    private final List<Double> added = new ArrayList<>();
+    private final List<Attempt> startedAttempts = new ArrayList<>();
+    private final List<Attempt> abandonedAttempts = new ArrayList<>();
+    private final List<Double> addedAmounts = new ArrayList<>();
     private final List<RuntimeException> faults = new ArrayList<>();
     private boolean abandonedAfterSend = true;
     private boolean connectorThrows;
@@ -62,40 +65,40 @@
                 @Override
                 public void send(Attempt attempt) {
                     if (connectorThrows) {
-                        throw new IllegalStateException("a fault");
+                        throw new IllegalStateException("exception of the connector");
                     }
-                    started.add(attempt);
+                    startedAttempts.add(attempt);
                 }
 
                 @Override
                 public boolean abandon(Attempt attempt) {
-                    abandoned.add(attempt);
+                    abandonedAttempts.add(attempt);
                     return abandonedAfterSend;
                 }
             },
-            (name, amount, keep) -> added.add(amount),
+            (name, amount, expiryMs) -> addedAmounts.add(amount),
             faults::add);
 
-    /** Records its final responses. */
+    /** A request that records its final responses. */
     private static final class RecordingRequest extends ClientRequest {
         final List<String> responses = new ArrayList<>();
         boolean responseThrows;
-        boolean clientWatched = true;
+        boolean disconnectDetectable = true;
 
         RecordingRequest(RequestAttributes attributes) {
             super(attributes);
         }
 
         @Override
-        protected boolean isClientWatched() {
-            return clientWatched;
+        protected boolean canDetectDisconnect() {
+            return disconnectDetectable;
         }
 
         @Override
         protected void served(Response response) {
             responses.add("served");
             if (responseThrows) {
-                throw new IllegalStateException("a fault of the frontend");
+                throw new IllegalStateException("exception of the frontend");
             }
         }
 
@@ -110,8 +113,9 @@
         }
     }
 
-    private RecordingRequest submit(int type, double waitMs) {
-        RecordingRequest request = new RecordingRequest(new RequestAttributes(type, 0, 5, clock + waitMs, 1, 1, false));
+    private RecordingRequest submit(int requestClass, double timeoutMs) {
+        RecordingRequest request =
+                new RecordingRequest(new RequestAttributes(requestClass, 0, 5, clock + timeoutMs, 1, 1, false));
         requestTable.submit(request);
         return request;
     }
@@ -132,117 +136,120 @@
     }
 
     @Test
-    void aResponseIsDeliveredOnce() {
+    void responseIsDeliveredOnce() {
         listEndpoints(2);
         RecordingRequest request = submit(READ, 4000);
-        requestTable.attemptEnded(started.get(0), Outcome.OK, null);
-        requestTable.attemptEnded(started.get(0), Outcome.RESET, null);
+        requestTable.attemptEnded(startedAttempts.get(0), Outcome.OK, null);
+        requestTable.attemptEnded(startedAttempts.get(0), Outcome.RESET, null);
         advanceClock(5000);
         assertEquals(List.of("served"), request.responses);
         assertEquals(0, requestTable.openRequests());
     }
 
     @Test
-    void aReadThatFailsIsRetriedElsewhereAndALogIsNot() {
+    void failedReadIsRetriedOnAnotherEndpointAndFailedWriteIsNot() {
         listEndpoints(2);
         RecordingRequest read = submit(READ, 4000);
-        requestTable.attemptEnded(started.get(0), Outcome.RESET, null);
-        assertEquals(2, started.size());
-        assertTrue(started.get(0).endpoint() != started.get(1).endpoint());
-        RecordingRequest log = submit(LOG, 7000);
-        requestTable.attemptEnded(started.get(2), Outcome.RESET, null);
-        assertEquals(List.of("failed ERROR"), log.responses);
-        assertEquals(3, started.size());
+        requestTable.attemptEnded(startedAttempts.get(0), Outcome.RESET, null);
+        assertEquals(2, startedAttempts.size());
+        assertTrue(startedAttempts.get(0).endpoint() != startedAttempts.get(1).endpoint());
+        RecordingRequest write = submit(WRITE, 7000);
+        requestTable.attemptEnded(startedAttempts.get(2), Outcome.RESET, null);
+        assertEquals(List.of("failed ERROR"), write.responses);
+        assertEquals(3, startedAttempts.size());
         assertEquals(List.of(), read.responses);
     }
 
     @Test
-    void aLogThatWasNotExecutedIsRetriedElsewhere() {
+    void writeThatWasNotExecutedIsRetriedOnAnotherEndpoint() {
         listEndpoints(2);
-        RecordingRequest log = submit(LOG, 7000);
-        requestTable.attemptEnded(started.get(0), Outcome.CONNECT_FAILED, null);
-        requestTable.attemptEnded(started.get(1), Outcome.OK, null);
-        assertEquals(List.of("served"), log.responses);
+        RecordingRequest write = submit(WRITE, 7000);
+        requestTable.attemptEnded(startedAttempts.get(0), Outcome.CONNECT_FAILED, null);
+        requestTable.attemptEnded(startedAttempts.get(1), Outcome.OK, null);
+        assertEquals(List.of("served"), write.responses);
     }
 
     @Test
-    void aRequestWithoutAResultIsAnsweredBeforeTheDeadline() {
+    void requestWithoutEndpointResponseIsCompletedBeforeItsDeadline() {
         listEndpoints(1);
         double startedAt = clock;
-        RecordingRequest request = submit(LOG, 700);
+        RecordingRequest request = submit(WRITE, 700);
         while (request.responses.isEmpty()) {
             advanceClock(1);
         }
-        assertTrue(clock <= startedAt + 690, "answered after " + (clock - startedAt));
-        assertEquals(1, started.size());
+        assertTrue(clock <= startedAt + 690, "completed after " + (clock - startedAt));
+        assertEquals(1, startedAttempts.size());
         advanceClock(100);
-        assertTrue(abandoned.contains(started.get(0)), "the attempt in flight at the deadline is abandoned");
+        assertTrue(
+                abandonedAttempts.contains(startedAttempts.get(0)),
+                "the attempt in flight at the deadline is abandoned");
         assertEquals(1, request.responses.size());
     }
 
     @Test
-    void noHedgedRequestIsEverInFlight() {
+    void noSecondAttemptIsInFlightWhenHedgingIsDisabled() {
         listEndpoints(3);
         RecordingRequest request = submit(READ, 4000);
         advanceClock(4100);
-        for (int i = 1; i < started.size(); i++) {
+        for (int i = 1; i < startedAttempts.size(); i++) {
             assertTrue(
-                    abandoned.contains(started.get(i - 1)),
+                    abandonedAttempts.contains(startedAttempts.get(i - 1)),
                     "attempt " + i + " was started while another was in flight");
         }
         assertEquals(1, request.responses.size());
     }
 
     @Test
-    void aQueuedAttemptIsNotSentToADrainingEndpointNorAfterTheResponse() {
+    void queuedAttemptIsNotSentToDrainingOrRemovedEndpointNorAfterWithdrawal() {
         listEndpoints(1);
         RecordingRequest request = submit(READ, 4000);
-        assertTrue(requestTable.maySend(started.get(0)));
+        assertTrue(requestTable.maySend(startedAttempts.get(0)));
         requestTable.endpointsChanged(
                 EndpointListType.DELTA, List.of(new Endpoint(1, EndpointState.DRAINING, 0, 1, 0, 0)));
-        assertFalse(requestTable.maySend(started.get(0)));
+        assertFalse(requestTable.maySend(startedAttempts.get(0)));
         requestTable.endpointsChanged(
                 EndpointListType.DELTA, List.of(new Endpoint(1, EndpointState.READY, 0, 1, 0, 0)));
-        assertTrue(requestTable.maySend(started.get(0)));
+        assertTrue(requestTable.maySend(startedAttempts.get(0)));
         requestTable.endpointsChanged(EndpointListType.SNAPSHOT, List.of());
-        assertFalse(requestTable.maySend(started.get(0)), "an endpoint that a snapshot does not list is removed");
+        assertFalse(
+                requestTable.maySend(startedAttempts.get(0)), "an endpoint that a snapshot does not list is removed");
         requestTable.withdraw(request);
         listEndpoints(1);
-        assertFalse(requestTable.maySend(started.get(0)));
+        assertFalse(requestTable.maySend(startedAttempts.get(0)));
     }
 
     @Test
-    void aDisconnectedClientWithdrawsItsRequest() {
+    void withdrawnRequestAbandonsItsAttemptAndGetsNoResponse() {
         listEndpoints(1);
         RecordingRequest request = submit(READ, 4000);
         requestTable.withdraw(request);
-        assertEquals(List.of(started.get(0)), abandoned);
+        assertEquals(List.of(startedAttempts.get(0)), abandonedAttempts);
         advanceClock(5000);
         assertEquals(List.of(), request.responses);
         assertEquals(0, requestTable.openRequests());
     }
 
     @Test
-    void anEngineFaultLeavesNoClientWithoutAResponse() {
+    void requestIsCompletedAfterExceptionInEngine() {
         listEndpoints(1);
         connectorThrows = true;
-        RecordingRequest request = submit(LOG, 700);
+        RecordingRequest request = submit(WRITE, 700);
         assertEquals(1, faults.size());
         advanceClock(700);
         assertEquals(1, request.responses.size(), request.responses.toString());
         connectorThrows = false;
-        submit(LOG, 700);
-        assertEquals(1, started.size(), "the next request is served");
+        submit(WRITE, 700);
+        assertEquals(1, startedAttempts.size(), "the next request is forwarded");
     }
 
     @Test
-    void aResponseThatCannotBeGivenCostsNoOtherRequestItsOwn() {
+    void exceptionWhileSendingResponseDoesNotAffectOtherRequests() {
         listEndpoints(2);
         RecordingRequest broken = submit(READ, 4000);
         RecordingRequest other = submit(READ, 4000);
         broken.responseThrows = true;
-        requestTable.attemptEnded(started.get(0), Outcome.OK, null);
-        requestTable.attemptEnded(started.get(1), Outcome.OK, null);
+        requestTable.attemptEnded(startedAttempts.get(0), Outcome.OK, null);
+        requestTable.attemptEnded(startedAttempts.get(1), Outcome.OK, null);
         assertEquals(List.of("served"), broken.responses);
         assertEquals(List.of("served"), other.responses);
         assertEquals(1, faults.size());
@@ -252,37 +259,37 @@
 
     private RecordingRequest submitAndServe() {
         RecordingRequest request = submit(READ, 4000);
-        requestTable.attemptEnded(started.get(started.size() - 1), Outcome.OK, null);
+        requestTable.attemptEnded(startedAttempts.get(startedAttempts.size() - 1), Outcome.OK, null);
         return request;
     }
 
     @Test
-    void noAttemptIsStartedOrSentWhileADisconnectOfTheClientCouldGoUnnoticed() {
+    void noAttemptIsStartedOrSentWhileClientDisconnectCannotBeDetected() {
         listEndpoints(2);
         RecordingRequest request = submit(READ, 4000);
-        request.clientWatched = false;
-        assertFalse(requestTable.maySend(started.get(0)));
-        requestTable.attemptEnded(started.get(0), Outcome.REJECTED, null);
-        assertEquals(1, started.size(), "no retry");
+        request.disconnectDetectable = false;
+        assertFalse(requestTable.maySend(startedAttempts.get(0)));
+        requestTable.attemptEnded(startedAttempts.get(0), Outcome.REJECTED, null);
+        assertEquals(1, startedAttempts.size(), "no retry");
         assertEquals(List.of("rejected"), request.responses);
     }
 
     @Test
-    void allOpenRequestsAreCompletedAndALogThatMayHaveRunIsNotRejected() {
+    void completeAllRejectsReadsAndFailsWritesThatMayHaveExecuted() {
         listEndpoints(2);
         RecordingRequest read = submit(READ, 4000);
-        RecordingRequest log = submit(LOG, 7000);
+        RecordingRequest write = submit(WRITE, 7000);
         requestTable.completeAll();
         assertEquals(List.of("rejected"), read.responses);
-        assertEquals(List.of("failed ERROR"), log.responses);
+        assertEquals(List.of("failed ERROR"), write.responses);
         advanceClock(8000);
-        assertEquals(1, read.responses.size() * log.responses.size());
+        assertEquals(1, read.responses.size() * write.responses.size());
     }
 
     @Test
-    void timersRunInOrderAndThoseScheduledMeanwhileWait() {
-        List<Long> ran = new ArrayList<>();
-        TimerQueue own = new TimerQueue(new TimerQueue.Alarm() {
+    void timersFireInOrderAndTimersScheduledMeanwhileWaitForNextRun() {
+        List<Long> firedTokens = new ArrayList<>();
+        TimerQueue queue = new TimerQueue(new TimerQueue.Alarm() {
             @Override
             public double now() {
                 return clock;
@@ -293,15 +300,16 @@
         });
         Random random = new Random(9);
         for (int i = 0; i < 500; i++) {
-            int at = random.nextInt(200);
-            own.scheduleAfter(at, (now, token) -> ran.add(token), at);
+            int delayMs = random.nextInt(200);
+            queue.scheduleAfter(delayMs, (now, token) -> firedTokens.add(token), delayMs);
         }
-        own.scheduleAfter(0, (now, token) -> own.scheduleAfter(0, (n, t) -> ran.add(-1L), 0), 0);
+        queue.scheduleAfter(
+                0, (now, token) -> queue.scheduleAfter(0, (innerNow, innerToken) -> firedTokens.add(-1L), 0), 0);
         clock += 100;
-        own.runDue();
-        assertEquals(ran.stream().sorted().toList(), ran);
-        assertTrue(ran.stream().allMatch(t -> t >= 0 && t <= 100) && ran.size() > 100);
-        own.runDue();
-        assertEquals(-1, ran.get(ran.size() - 1));
+        queue.runDue();
+        assertEquals(firedTokens.stream().sorted().toList(), firedTokens);
+        assertTrue(firedTokens.stream().allMatch(token -> token >= 0 && token <= 100) && firedTokens.size() > 100);
+        queue.runDue();
+        assertEquals(-1, firedTokens.get(firedTokens.size() - 1));
     }
 }
--- a/core/src/test/java/stonelb/counter/CounterClientTest.java
+++ b/core/src/test/java/stonelb/counter/CounterClientTest.java
@@ -19,27 +19,28 @@
 import stonelb.io.EventLoop;
 import stonelb.io.RateLimitedLog;
 
-/** Counter calls on a simulated clock, against a counter that the test itself plays. */
+/** Calls of the counter client on a simulated clock, to a server socket on which the test responds as the counter. */
 class CounterClientTest {
     private final AtomicLong clock = new AtomicLong(1_000_000);
     private final BlockingQueue<String> results = new LinkedBlockingQueue<>();
-    private final BlockingQueue<String> lines = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> logLines = new LinkedBlockingQueue<>();
     private final EventLoop loop = new EventLoop(new RateLimitedLog(), clock::get);
-    private final ServerSocket listener;
+    private final ServerSocket serverSocket;
     private final CounterClient client;
     private Socket socket;
 
     CounterClientTest() throws Exception {
-        listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
-        listener.setSoTimeout(20_000);
+        serverSocket = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
+        serverSocket.setSoTimeout(20_000);
         client = new CounterClient(
-                loop, new RateLimitedLog(lines::add), (InetSocketAddress) listener.getLocalSocketAddress(), 50);
-        loop.execute(() -> client.start((name, how, took, total) -> results.add(name + " " + how + " " + total)));
+                loop, new RateLimitedLog(logLines::add), (InetSocketAddress) serverSocket.getLocalSocketAddress(), 50);
+        loop.execute(() ->
+                client.start((name, outcome, latencyMs, total) -> results.add(name + " " + outcome + " " + total)));
     }
 
     @AfterEach
     void stop() throws Exception {
-        listener.close();
+        serverSocket.close();
         if (socket != null) {
             socket.close();
         }
@@ -53,17 +54,17 @@
         return results.poll(20, TimeUnit.SECONDS);
     }
 
-    /** Reads one call and gives its start line. */
+    /** Reads one call and returns its request line. */
     private String readCall() throws Exception {
         if (socket == null) {
-            socket = listener.accept();
+            socket = serverSocket.accept();
             socket.setSoTimeout(20_000);
         }
         InputStream in = socket.getInputStream();
         StringBuilder text = new StringBuilder();
         while (text.indexOf("\r\n\r\n") < 0) {
             int next = in.read();
-            assertEquals(true, next >= 0, "ended within a call");
+            assertEquals(true, next >= 0, "connection closed within a call");
             text.append((char) next);
         }
         return text.substring(0, text.indexOf("\r\n"));
@@ -73,14 +74,14 @@
         respond(status, body, "");
     }
 
-    private void respond(int status, String body, String more) throws Exception {
+    private void respond(int status, String body, String trailing) throws Exception {
         socket.getOutputStream()
-                .write(("HTTP/1.1 " + status + " X\r\nContent-Length: " + body.length() + "\r\n\r\n" + body + more)
+                .write(("HTTP/1.1 " + status + " X\r\nContent-Length: " + body.length() + "\r\n\r\n" + body + trailing)
                         .getBytes(StandardCharsets.US_ASCII));
     }
 
     @Test
-    void aLateAnswerIsNotTakenForTheNextCalls() throws Exception {
+    void responseAfterTimeoutIsNotMatchedToNextCall() throws Exception {
         add(5);
         assertEquals("POST /counters/8?by=5&expire_ms=1000 HTTP/1.1", readCall());
         clock.addAndGet(60);
@@ -90,28 +91,30 @@
         respond(200, "5");
         respond(200, "4.75");
         assertEquals("8 OK 4.75", nextResult());
-        assertNull(results.poll(), "the late answer is reported to nobody");
+        assertNull(results.poll(), "the response after the timeout is not reported");
     }
 
-    /** On-call engineers must see a counter that is silent or overloaded. */
+    /** Without the log line, operators would not see a counter that is unresponsive or overloaded. */
     @Test
-    void aCallWithoutAnAnswerInTimeIsLogged() throws Exception {
+    void callTimeoutIsLogged() throws Exception {
         add(5);
         readCall();
         clock.addAndGet(60);
         assertEquals("8 TIMEOUT 0.0", nextResult());
-        assertEquals("quota counter timeout: the call counts as added", lines.poll(20, TimeUnit.SECONDS));
+        assertEquals("quota counter timeout: the call counts as added", logLines.poll(20, TimeUnit.SECONDS));
     }
 
-    /** Calls behind an answer that never ends would all time out. */
+    /** If the connection stayed in use, all calls behind the incomplete response would time out. */
     @Test
-    void anAnswerThatNeverEndsCostsItsConnectionAndNoFurtherCall() throws Exception {
-        for (String begun : new String[] {"HTTP/1.1 200 X\r\nContent-Length: 40\r\n\r\n1", "noise without an end"}) {
+    void incompleteResponseClosesConnectionAndLaterCallsSucceed() throws Exception {
+        for (String incompleteResponse :
+                new String[] {"HTTP/1.1 200 X\r\nContent-Length: 40\r\n\r\n1", "noise without an end"}) {
             for (int i = 0; i < 3; i++) {
                 add(5);
                 readCall();
             }
-            respond(200, "5", begun); // in one piece: once the first answer is reported, the second has begun
+            // One write, so that the second response has begun once the first one is reported.
+            respond(200, "5", incompleteResponse);
             assertEquals("8 OK 5.0", nextResult());
             clock.addAndGet(60);
             assertEquals("8 RESET 0.0", nextResult());
@@ -124,16 +127,18 @@
         }
     }
 
-    /** A part of a total must not be taken for all of it: without a length, only the counter's own end is its end. */
+    /**
+     * A truncated total must not be accepted: without a length, only a close by the counter marks the end of the body.
+     */
     @Test
-    void aTotalWithoutALengthEndsWithTheConnectionButNotWithAReset() throws Exception {
+    void totalWithoutContentLengthIsAcceptedAfterCloseButNotAfterReset() throws Exception {
         for (boolean reset : new boolean[] {false, true}) {
             add(5);
             readCall();
             socket.getOutputStream().write("HTTP/1.1 200 X\r\n\r\n12".getBytes(StandardCharsets.US_ASCII));
             CompletableFuture<Void> read = new CompletableFuture<>();
             loop.execute(() -> loop.timers().scheduleAfter(0, (now, token) -> read.complete(null), 0));
-            read.get(20, TimeUnit.SECONDS); // between the two the loop reads
+            read.get(20, TimeUnit.SECONDS); // the loop reads between the write and the close
             socket.setSoLinger(reset, 0);
             socket.close();
             socket = null;
@@ -142,7 +147,7 @@
     }
 
     @Test
-    void whatEveryEndOfACallProves() throws Exception {
+    void failedCallReportsWhetherAmountMayHaveBeenAdded() throws Exception {
         add(1);
         readCall();
         respond(503, "");
@@ -151,15 +156,15 @@
         readCall();
         socket.close();
         assertEquals("8 RESET 0.0", nextResult(), "it may have been added");
-        for (String spoilt : new String[] {"", "none", "NaN", "Infinity", "1 2"}) {
+        for (String invalidTotal : new String[] {"", "none", "NaN", "Infinity", "1 2"}) {
             socket = null;
             add(2);
             readCall();
-            respond(200, spoilt);
-            assertEquals("8 RESET 0.0", nextResult(), "it was added, and nobody knows the total: " + spoilt);
-            assertEquals(-1, socket.getInputStream().read(), "the connection is of no further use");
+            respond(200, invalidTotal);
+            assertEquals("8 RESET 0.0", nextResult(), "it was added, but the total is unknown: " + invalidTotal);
+            assertEquals(-1, socket.getInputStream().read(), "the connection is closed");
         }
-        listener.close();
+        serverSocket.close();
         add(3);
         assertEquals("8 CONNECT_FAILED 0.0", nextResult(), "nothing was added");
     }
--- a/core/src/test/java/stonelb/description/DescriptionFileTest.java
+++ b/core/src/test/java/stonelb/description/DescriptionFileTest.java
@@ -18,7 +18,7 @@
 import stonelb.io.EventLoop;
 import stonelb.io.RateLimitedLog;
 
-/** The description file while it is reloaded. */
+/** Tests periodic reloads of the description file. */
 class DescriptionFileTest {
     private static final int RELOAD_INTERVAL_MS = 5;
     private static final long MAX_WAIT_MS = 10_000;
@@ -41,14 +41,14 @@
         return directory.resolve("openapi.yaml");
     }
 
-    /** Replaces the file in one step, so that no half of it is read. */
+    /** Replaces the file atomically, so that the reload never reads a partial file. */
     private void replace(String text) throws IOException {
         Path next = Files.writeString(directory.resolve("next.yaml"), text);
         Files.move(next, file(), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
     @Test
-    void aBrokenReferenceIsRejectedAndTheNextValidFileTaken() throws Exception {
+    void keepsRoutesOnMalformedReferenceAndLoadsNextValidFile() throws Exception {
         replace(HEAD + "/a: {get: {}}");
         DescriptionFile description = new DescriptionFile(
                 file(), List.of("read"), OpenApiDescriptionTest.settings(OpenApiDescriptionTest.READ), loop, log);
--- a/core/src/test/java/stonelb/description/OpenApiDescriptionTest.java
+++ b/core/src/test/java/stonelb/description/OpenApiDescriptionTest.java
@@ -18,13 +18,13 @@
 import stonelb.decision.RequestClass;
 import stonelb.decision.SlowStart;
 
-/** Descriptions into routes: prefixes, references, templates, classes and costs. */
+/** Tests how descriptions are read into routes: prefixes, references, templates, classes and costs. */
 class OpenApiDescriptionTest {
     static final RequestClass READ = new RequestClass(1000, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 5000, 3);
     private static final RequestClass LOG =
             new RequestClass(2000, Idempotency.AT_MOST_ONCE, DeduplicationScope.ALL, 5000, 2);
 
-    private final List<String> reported = new ArrayList<>();
+    private final List<String> warnings = new ArrayList<>();
 
     static DecisionSettings settings(RequestClass... classes) {
         return new DecisionSettings(
@@ -42,14 +42,14 @@
 
     private Routes read(String text) throws InvalidDescriptionException {
         return OpenApiDescription.read(
-                text.getBytes(StandardCharsets.UTF_8), List.of("read", "log"), settings(READ, LOG), reported::add);
+                text.getBytes(StandardCharsets.UTF_8), List.of("read", "log"), settings(READ, LOG), warnings::add);
     }
 
-    private String rejected(String text) {
+    private String rejectionMessage(String text) {
         return assertThrows(InvalidDescriptionException.class, () -> read(text)).getMessage();
     }
 
-    private static String name(Routes routes, String method, String path) throws MalformedPathException {
+    private static String matchedOperation(Routes routes, String method, String path) throws MalformedPathException {
         Routes.Match match = routes.match(path);
         return match == null
                 ? "404"
@@ -91,95 +91,103 @@
             """;
 
     @Test
-    void prefixesTemplatesAndConcretePaths() throws Exception {
+    void matchesServerPrefixesTemplatesAndLiteralPaths() throws Exception {
         Routes routes = read(YAML);
-        assertEquals("GET /plans/{id}", name(routes, "GET", "/v2/plans/7"));
-        assertEquals("GET /plans/mine", name(routes, "GET", "/old/plans/mine"));
-        assertEquals("GET /plans/mine", name(routes, "GET", "/old/plans/m%69ne"), "escapes do not get round a route");
-        assertEquals("405", name(routes, "PUT", "/old/plans/mine"));
-        assertEquals("GET, PUT", routes.match("/v2/plans/7").allow());
-        assertEquals("GET /plans/{id}/video-{n}.mp4", name(routes, "GET", "/v2/plans/7/video-12.mp4"));
-        assertEquals("404", name(routes, "GET", "/v2/plans/7/video-.mp4"));
-        assertEquals("404", name(routes, "GET", "/v2/plans/"));
-        assertEquals("404", name(routes, "GET", "/plans/7"));
-        assertEquals("GET /here", name(routes, "GET", "/here"));
-        assertEquals("404", name(routes, "GET", "/v2/here"));
-        assertEquals("GET /plans/{id}", name(routes, "GET", "/v2/plans/a%2Fb"), "an escaped slash is no border");
+        assertEquals("GET /plans/{id}", matchedOperation(routes, "GET", "/v2/plans/7"));
+        assertEquals("GET /plans/mine", matchedOperation(routes, "GET", "/old/plans/mine"));
+        assertEquals(
+                "GET /plans/mine",
+                matchedOperation(routes, "GET", "/old/plans/m%69ne"),
+                "an escaped segment matches the literal route");
+        assertEquals("405", matchedOperation(routes, "PUT", "/old/plans/mine"));
+        assertEquals("GET, PUT", routes.match("/v2/plans/7").allowHeader());
+        assertEquals("GET /plans/{id}/video-{n}.mp4", matchedOperation(routes, "GET", "/v2/plans/7/video-12.mp4"));
+        assertEquals("404", matchedOperation(routes, "GET", "/v2/plans/7/video-.mp4"));
+        assertEquals("404", matchedOperation(routes, "GET", "/v2/plans/"));
+        assertEquals("404", matchedOperation(routes, "GET", "/plans/7"));
+        assertEquals("GET /here", matchedOperation(routes, "GET", "/here"));
+        assertEquals("404", matchedOperation(routes, "GET", "/v2/here"));
+        assertEquals(
+                "GET /plans/{id}",
+                matchedOperation(routes, "GET", "/v2/plans/a%2Fb"),
+                "an escaped slash does not separate segments");
     }
 
     @Test
-    void dotSegmentsAndBrokenEscapesAreNoPaths() throws Exception {
+    void rejectsDotSegmentsAndMalformedEscapes() throws Exception {
         Routes routes = read(YAML);
-        for (String bad : List.of("/v2/plans/..", "/v2/./plans/7", "/v2/plans/%2e%2E", "/v2/plans/%4", "plans", "*")) {
-            assertThrows(MalformedPathException.class, () -> routes.match(bad), bad);
+        for (String path : List.of("/v2/plans/..", "/v2/./plans/7", "/v2/plans/%2e%2E", "/v2/plans/%4", "plans", "*")) {
+            assertThrows(MalformedPathException.class, () -> routes.match(path), path);
         }
     }
 
     @Test
-    void classesAndCostsComeFromTheNearestMark() throws Exception {
+    void classAndCostComeFromOperationElsePathElseDefault() throws Exception {
         Routes routes = read(YAML);
         assertEquals(2, routes.match("/v2/plans/7").route("GET").cost());
         assertEquals(0, routes.match("/v2/plans/7").route("GET").requestClass());
         assertEquals(1, routes.match("/v2/plans/7").route("PUT").requestClass());
         Route log = routes.match("/v2/logs").route("POST");
         assertEquals(new Route("POST /logs", 1, 3, List.of("day"), List.of(), true), log);
-        assertEquals(List.of(), reported);
+        assertEquals(List.of(), warnings);
     }
 
     @Test
-    void anOperationWithNoClassNeverRunsTwiceAndIsReported() throws Exception {
+    void operationWithoutClassBecomesAtMostOnceWithWarning() throws Exception {
         Routes routes = read("{\"openapi\":\"3.0.3\",\"paths\":{\"/a\":{\"get\":{}}}}");
         assertEquals(1, routes.match("/a").route("GET").requestClass());
-        assertTrue(reported.get(0).startsWith("GET /a has no class, using log"), reported.toString());
+        assertTrue(warnings.get(0).startsWith("GET /a has no class, using log"), warnings.toString());
     }
 
     @Test
-    void withNoSuchClassTheDescriptionIsRejectedAndTheOperationNamed() {
+    void rejectsOperationWithoutClassIfNoClassIsAtMostOnce() {
         byte[] text = "{\"openapi\":\"3.0.3\",\"paths\":{\"/a\":{\"get\":{}}}}".getBytes(StandardCharsets.UTF_8);
-        String why = assertThrows(
+        String message = assertThrows(
                         InvalidDescriptionException.class,
-                        () -> OpenApiDescription.read(text, List.of("read"), settings(READ), reported::add))
+                        () -> OpenApiDescription.read(text, List.of("read"), settings(READ), warnings::add))
                 .getMessage();
-        assertTrue(why.startsWith("GET /a has no class"), why);
+        assertTrue(message.startsWith("GET /a has no class"), message);
     }
 
     @Test
-    void rejectionsSayWhatIsWrong() {
+    void rejectionMessageDescribesTheError() {
         String head = "openapi: 3.0.0\npaths:\n  ";
-        assertTrue(rejected("openapi: 2.0.0").contains("not OpenAPI 3"));
-        assertTrue(rejected(head + "{}").contains("no operation"));
-        assertTrue(rejected(head + "/a: {get: {x-stonelb-class: other}}").contains("GET /a has the class other"));
-        assertTrue(rejected(head + "/a: {get: {x-stonelb-cost: 0}}").contains("GET /a costs"));
-        assertTrue(rejected(head + "/a: {get: {x-stonelb-cost: 9}}").contains("GET /a costs"));
-        assertTrue(rejected(head + "/a/{x}: {get: {}}\n  /a/{y}: {get: {}}").contains("twice"));
-        assertTrue(rejected(head + "/a: {$ref: '#/paths/~1a'}").contains("circle"));
-        assertTrue(rejected(head + "/a: {$ref: 'http://x/y'}").contains("not local"));
-        assertTrue(rejected(head + "/a: {$ref: '#/b'}").contains("nowhere"));
-        assertTrue(rejected(": : :").contains("not the JSON or YAML"));
-        assertTrue(rejected("{\"openapi\"").contains("not the JSON or YAML"));
-        assertTrue(rejected("[]").contains("not an object"));
-        assertTrue(rejected(head + "[]").contains("not the JSON or YAML"));
+        assertTrue(rejectionMessage("openapi: 2.0.0").contains("not OpenAPI 3"));
+        assertTrue(rejectionMessage(head + "{}").contains("no operation"));
+        assertTrue(
+                rejectionMessage(head + "/a: {get: {x-stonelb-class: other}}").contains("GET /a has the class other"));
+        assertTrue(rejectionMessage(head + "/a: {get: {x-stonelb-cost: 0}}").contains("GET /a costs"));
+        assertTrue(rejectionMessage(head + "/a: {get: {x-stonelb-cost: 9}}").contains("GET /a costs"));
+        assertTrue(rejectionMessage(head + "/a/{x}: {get: {}}\n  /a/{y}: {get: {}}")
+                .contains("twice"));
+        assertTrue(rejectionMessage(head + "/a: {$ref: '#/paths/~1a'}").contains("is circular"));
+        assertTrue(rejectionMessage(head + "/a: {$ref: 'http://x/y'}").contains("not local"));
+        assertTrue(rejectionMessage(head + "/a: {$ref: '#/b'}").contains("has no target"));
+        assertTrue(rejectionMessage(": : :").contains("not the JSON or YAML"));
+        assertTrue(rejectionMessage("{\"openapi\"").contains("not the JSON or YAML"));
+        assertTrue(rejectionMessage("[]").contains("not an object"));
+        assertTrue(rejectionMessage(head + "[]").contains("not the JSON or YAML"));
     }
 
     @Test
-    void aReferenceWithABrokenEscapeIsRejected() {
+    void rejectsReferenceWithMalformedEscape() {
         String head = "openapi: 3.0.0\npaths:\n  ";
-        for (String broken : List.of("%zz", "a%", "%4", "%-1", "a/%g0")) {
-            String reason = rejected(head + "/a: {$ref: '#/" + broken + "'}");
-            assertTrue(reason.contains("the reference #/" + broken + " has a broken escape"), reason);
+        for (String token : List.of("%zz", "a%", "%4", "%-1", "a/%g0")) {
+            String reason = rejectionMessage(head + "/a: {$ref: '#/" + token + "'}");
+            assertTrue(reason.contains("the reference #/" + token + " has a broken escape"), reason);
         }
     }
 
     @Test
-    void aNumberThatJsonDoesNotHaveIsRejected() {
+    void rejectsNumbersThatJsonCannotRepresent() {
         for (String number : List.of(".nan", ".inf", "-.inf")) {
-            String reason = rejected("openapi: 3.0.0\nx-number: " + number + "\npaths: {/a: {get: {}}}");
+            String reason = rejectionMessage("openapi: 3.0.0\nx-number: " + number + "\npaths: {/a: {get: {}}}");
             assertTrue(reason.contains("not the JSON or YAML expected"), reason);
         }
     }
 
     @Test
-    void escapesInAReferenceAreDecoded() throws Exception {
+    void decodesEscapesInReference() throws Exception {
         Routes routes = read(
                 """
                 openapi: 3.0.0
@@ -189,11 +197,11 @@
                 x-items:
                   'a b+c%/é~1': {get: {}}
                 """);
-        assertEquals("GET /a", name(routes, "GET", "/a"));
+        assertEquals("GET /a", matchedOperation(routes, "GET", "/a"));
     }
 
     @Test
-    void oneMethodUnderTwoServersAndNoMatchElsewhere() throws Exception {
+    void doesNotMatchPathUnderUnknownServerPrefix() throws Exception {
         assertNull(read(YAML).match("/v3/logs"));
     }
 }
--- a/core/src/test/java/stonelb/discovery/DiscoveryBackoffTest.java
+++ b/core/src/test/java/stonelb/discovery/DiscoveryBackoffTest.java
@@ -11,39 +11,43 @@
 /** The backoff between requests to a failing discovery service. */
 class DiscoveryBackoffTest {
     private static final int[] GATEWAY_COUNTS = {1, 14, 200};
-    private static final double DRAIN_MS = 250; // within which requests to a draining endpoint must cease, at least
 
-    /** Gateways that all fail at once and for good: the calls of the whole fleet in a second, after some time. */
-    private static double callsPerSecond(int gateways) {
+    /** The shortest time within which requests to a draining endpoint must cease. */
+    private static final double MIN_DRAIN_MS = 250;
+
+    /** The requests per second of all gateways together, from 300 s after all begin to fail at the same time. */
+    private static double requestsPerSecond(int gateways) {
         SplittableRandom seeds = new SplittableRandom(5);
-        int calls = 0;
-        for (int g = 0; g < gateways; g++) {
+        int requests = 0;
+        for (int gateway = 0; gateway < gateways; gateway++) {
             SplittableRandom random = seeds.split();
-            double at = 0;
-            for (int failures = 0; at < 600_000; failures++) {
-                at += DiscoveryBackoff.delayMs(failures, gateways, random);
-                calls += at > 300_000 ? 1 : 0;
+            double timeMs = 0;
+            for (int failures = 0; timeMs < 600_000; failures++) {
+                timeMs += DiscoveryBackoff.delayMs(failures, gateways, random);
+                requests += timeMs > 300_000 ? 1 : 0;
             }
         }
-        return calls / 300.0;
+        return requests / 300.0;
     }
 
     /**
-     * A few times a second, as long as no gateway has to stay away for longer than a change may be late; beyond that, each
-     * gateway asks as seldom as that allows.
+     * The total is a few requests per second while the maximum backoff allows it. With more gateways the maximum, which
+     * is the acceptable delay of a change, determines the rate of each.
      */
     @Test
-    void theWholeFleetAsksAsSeldomAsChangesMayBeLate() {
+    void requestRateOfAllGatewaysIsLimited() {
         for (int gateways : GATEWAY_COUNTS) {
-            double rate = callsPerSecond(gateways);
-            assertTrue(rate < Math.max(10, 0.85 * gateways), gateways + " gateways ask " + rate + " times a second");
-            assertTrue(rate > 1, gateways + " gateways ask " + rate + " times a second: changes would arrive late");
+            double rate = requestsPerSecond(gateways);
+            assertTrue(
+                    rate < Math.max(10, 0.85 * gateways), gateways + " gateways send " + rate + " requests per second");
+            assertTrue(
+                    rate > 1, gateways + " gateways send " + rate + " requests per second: changes would be delayed");
         }
     }
 
-    /** A change has to arrive in 6 s; the time that the backoff leaves of it is for the requests themselves. */
+    /** A change must be received within 6 s; the requests themselves need the time that the backoff leaves. */
     @Test
-    void noBackoffIsLongerThanChangesMayBeLate() {
+    void backoffNeverExceedsMaximum() {
         SplittableRandom random = new SplittableRandom(8);
         for (int gateways : GATEWAY_COUNTS) {
             for (int failures = 0; failures < 100; failures++) {
@@ -54,28 +58,30 @@
     }
 
     @Test
-    void theFirstBackoffContinuesAWatchAndGatewaysThatFailTogetherSpreadOut() {
+    void firstDelayIsShortAndLaterDelaysAreSpreadOut() {
         SplittableRandom random = new SplittableRandom(7);
-        double shortest = Double.MAX_VALUE;
-        double longest = 0;
+        double shortestMs = Double.MAX_VALUE;
+        double longestMs = 0;
         for (int i = 0; i < 100; i++) {
-            assertTrue(DiscoveryBackoff.delayMs(0, 14, random) < 200, "a later call begins a new watch");
-            double fourth = DiscoveryBackoff.delayMs(3, 14, random);
-            shortest = Math.min(shortest, fourth);
-            longest = Math.max(longest, fourth);
+            assertTrue(DiscoveryBackoff.delayMs(0, 14, random) < 200, "a request after 200 ms begins a new watch");
+            double fourthDelayMs = DiscoveryBackoff.delayMs(3, 14, random);
+            shortestMs = Math.min(shortestMs, fourthDelayMs);
+            longestMs = Math.max(longestMs, fourthDelayMs);
         }
-        assertTrue(longest - shortest > 400, "all backoffs lie between " + shortest + " and " + longest);
+        assertTrue(longestMs - shortestMs > 400, "all delays lie between " + shortestMs + " and " + longestMs);
     }
 
-    /** While endpoints drain, a gateway must not stay away from the agent on its own machine. */
+    /**
+     * During the backoff the gateway does not notice that an endpoint drains, and would continue to send it requests.
+     */
     @Test
-    void theBackoffForTheOwnAgentIsShorterThanADrain() {
+    void backoffForLocalAgentIsNoLongerThanDrain() {
         SplittableRandom random = new SplittableRandom(9);
         for (int failures = 0; failures < 100; failures++) {
             double backoffMs = DiscoveryBackoff.delayMs(failures, DiscoveryClient.clientCount(settings(false)), random);
-            assertTrue(backoffMs <= DRAIN_MS, "after " + failures + " failures it stays away for " + backoffMs);
+            assertTrue(backoffMs <= MIN_DRAIN_MS, "after " + failures + " failures the backoff is " + backoffMs);
         }
-        assertEquals(200, DiscoveryClient.clientCount(settings(true)), "one that all gateways ask is spared");
+        assertEquals(200, DiscoveryClient.clientCount(settings(true)), "all gateways use a shared service");
     }
 
     private static DecisionSettings settings(boolean onRequest) {
--- a/core/src/test/java/stonelb/discovery/EndpointListTest.java
+++ b/core/src/test/java/stonelb/discovery/EndpointListTest.java
@@ -20,8 +20,9 @@
 import stonelb.standins.ObjectGraphSize;
 
 /**
- * The starts of endpoints that the decision engine learns of, where the wall clock of the gateway steps. The loop's clock
- * never does. Discovery reports starts either by that wall clock, where it runs on the same machine, or by one that is right.
+ * The start times that the endpoint list reports to the decision engine while the gateway's wall clock steps. The event
+ * loop's clock never steps. Discovery reports start times either by the same wall clock, if it runs on the same
+ * machine, or by a correct one.
  */
 class EndpointListTest {
     private static final double HOUR_MS = 3_600_000;
@@ -32,7 +33,7 @@
 
     private double loopTimeMs = START_TIME_MS;
     private double wallClockErrorMs;
-    private final Map<Long, Double> startsById = new HashMap<>();
+    private final Map<Long, Double> startTimesById = new HashMap<>();
     private final Map<String, Long> idsByName = new HashMap<>();
     private EndpointList endpointList = newEndpointList();
 
@@ -53,10 +54,10 @@
     }
 
     private void endpointsChanged(EndpointListType type, List<Endpoint> endpoints) {
-        endpoints.forEach(endpoint -> startsById.put(endpoint.id(), endpoint.startedAtMs()));
+        endpoints.forEach(endpoint -> startTimesById.put(endpoint.id(), endpoint.startedAtMs()));
     }
 
-    private void startProcess() {
+    private void restartProcess() {
         wallClockErrorMs = 0;
         endpointList = newEndpointList();
     }
@@ -65,14 +66,14 @@
         return loopTimeMs + wallClockErrorMs;
     }
 
-    /** The start of the endpoint of that name, as it was last told to the decision engine. */
-    private double startOf(String name) {
-        return startsById.get(idsByName.get(name));
+    /** The start time that was last reported to the decision engine for the endpoint of that name. */
+    private double startTimeOf(String name) {
+        return startTimesById.get(idsByName.get(name));
     }
 
-    /** The elements of all collections, without those that this test collected. */
+    /** The number of elements in all collections of the list, without those of this test. */
     private int stateSize() throws IllegalAccessException {
-        startsById.clear();
+        startTimesById.clear();
         idsByName.clear();
         return ObjectGraphSize.of(endpointList);
     }
@@ -102,44 +103,47 @@
         endpointList.apply(list.getBytes(StandardCharsets.UTF_8), discovery);
     }
 
-    /** The age is read once; what the wall clock does afterwards neither cools nor warms an endpoint. */
+    /** A later step of the wall clock must not change the age, and thus the slow start, of a known endpoint. */
     @Test
-    void startIsTheAgeBeforeNowAndIsKeptWhileTheWallClockSteps() throws Exception {
+    void startTimeIsConvertedOnceAndUnaffectedByLaterClockSteps() throws Exception {
         for (double stepMs : CLOCK_STEPS_MS) {
-            startProcess();
+            restartProcess();
             wallClockErrorMs = stepMs;
             double sinceMs = wallTimeMs() - 400;
             double expectedStartMs = loopTimeMs - 400;
             applySnapshot(DISCOVERY, readyEntry("s", sinceMs));
-            assertEquals(expectedStartMs, startOf("s"), "the first list after a step of " + stepMs);
+            assertEquals(expectedStartMs, startTimeOf("s"), "the first list after a step of " + stepMs);
             wallClockErrorMs -= stepMs;
             loopTimeMs += 1000;
             applyDelta(readyEntry("s", sinceMs));
-            assertEquals(expectedStartMs, startOf("s"), "a delta after a step back of " + stepMs);
+            assertEquals(expectedStartMs, startTimeOf("s"), "a delta after a step back of " + stepMs);
             loopTimeMs += 1000;
             applySnapshot(DISCOVERY, readyEntry("s", sinceMs));
-            assertEquals(expectedStartMs, startOf("s"), "a snapshot after a step back of " + stepMs);
+            assertEquals(expectedStartMs, startTimeOf("s"), "a snapshot after a step back of " + stepMs);
             applySnapshot(OTHER_DISCOVERY, readyEntry("s", sinceMs));
-            assertEquals(expectedStartMs, startOf("s"), "another discovery service after a step back of " + stepMs);
+            assertEquals(expectedStartMs, startTimeOf("s"), "another discovery service after a step back of " + stepMs);
         }
     }
 
-    /** A cold endpoint must not look warm, nor one that started just now as if it started in an hour. */
+    /**
+     * A step of the wall clock must not make a new endpoint appear to have started long ago, or to start in the future.
+     */
     @Test
-    void endpointOfAListInUseIsNoOlderThanThePreviousListWhateverTheWallClockSays() throws Exception {
+    void startTimeOfNewEndpointIsNeitherBeforePreviousListNorInFuture() throws Exception {
         for (double stepBeforeMs : CLOCK_STEPS_MS) {
             for (double stepBetweenMs : CLOCK_STEPS_MS) {
                 for (boolean sameClock : new boolean[] {false, true}) {
-                    startAfterClockSteps(stepBeforeMs, stepBetweenMs, sameClock);
+                    assertStartTimesAfterClockSteps(stepBeforeMs, stepBetweenMs, sameClock);
                 }
             }
         }
     }
 
-    private void startAfterClockSteps(double stepBeforeMs, double stepBetweenMs, boolean sameClock) throws Exception {
-        String steps = "steps of " + stepBeforeMs + " before and " + stepBetweenMs + " between the lists, discovery on "
-                + (sameClock ? "the same" : "another") + " clock: ";
-        startProcess();
+    private void assertStartTimesAfterClockSteps(double stepBeforeMs, double stepBetweenMs, boolean sameClock)
+            throws Exception {
+        String description = "steps of " + stepBeforeMs + " before and " + stepBetweenMs
+                + " between the lists, discovery on " + (sameClock ? "the same" : "another") + " clock: ";
+        restartProcess();
         wallClockErrorMs += stepBeforeMs;
         applySnapshot(DISCOVERY, readyEntry("restarted", discoveryTimeMs(sameClock) - 50_000));
         double previousListAtMs = loopTimeMs;
@@ -148,13 +152,13 @@
         double discoveryTimeMs = discoveryTimeMs(sameClock);
         applyDelta(readyEntry("new", discoveryTimeMs - 500), readyEntry("restarted", discoveryTimeMs - 700));
         for (String name : List.of("new", "restarted")) {
-            double startMs = startOf(name);
-            assertTrue(startMs >= previousListAtMs, steps + name + " starts " + (startMs - previousListAtMs));
-            assertTrue(startMs <= loopTimeMs, steps + name + " starts in " + (startMs - loopTimeMs));
+            double startMs = startTimeOf(name);
+            assertTrue(startMs >= previousListAtMs, description + name + " starts " + (startMs - previousListAtMs));
+            assertTrue(startMs <= loopTimeMs, description + name + " starts in " + (startMs - loopTimeMs));
         }
         if (discoveryTimeMs == wallTimeMs()) {
-            assertEquals(loopTimeMs - 500, startOf("new"), steps + "their clocks agree");
-            assertEquals(loopTimeMs - 700, startOf("restarted"), steps + "their clocks agree");
+            assertEquals(loopTimeMs - 500, startTimeOf("new"), description + "their clocks agree");
+            assertEquals(loopTimeMs - 700, startTimeOf("restarted"), description + "their clocks agree");
         }
     }
 
@@ -162,46 +166,51 @@
         return sameClock ? wallTimeMs() : loopTimeMs;
     }
 
-    /** The engine takes a later start for a restart; discovery's time of it may have gone back, or hardly moved. */
+    /**
+     * The engine recognizes a restart by a later start time, but the reported one may be earlier or almost the same.
+     */
     @Test
-    void changedStartReachesTheEngineAsALaterOne() throws Exception {
+    void changedStartTimeIsReportedAsLaterTime() throws Exception {
         for (double sinceChangeMs : new double[] {-HOUR_MS, -1, 1, HOUR_MS}) {
             for (InetSocketAddress discovery : List.of(DISCOVERY, OTHER_DISCOVERY)) {
-                startProcess();
+                restartProcess();
                 double sinceMs = loopTimeMs - 10;
                 applySnapshot(DISCOVERY, readyEntry("s", sinceMs));
-                double startMs = startOf("s");
+                double startMs = startTimeOf("s");
                 applySnapshot(discovery, entry("s", "terminating", sinceMs + sinceChangeMs));
                 applySnapshot(discovery, readyEntry("s", sinceMs + sinceChangeMs));
-                assertTrue(startOf("s") > startMs, "since_ms changed by " + sinceChangeMs + " from " + discovery);
-                assertTrue(startOf("s") < loopTimeMs + 1, "since_ms changed by " + sinceChangeMs + ", starts later");
+                assertTrue(startTimeOf("s") > startMs, "since_ms changed by " + sinceChangeMs + " from " + discovery);
+                assertTrue(
+                        startTimeOf("s") < loopTimeMs + 1, "since_ms changed by " + sinceChangeMs + ", starts later");
             }
         }
     }
 
-    /** There is no earlier response that could tell that an endpoint was not there. */
+    /** Without an earlier response of the same service, there is no lower bound of the start times. */
     @Test
-    void endpointsOfAFirstListMayBeOld() throws Exception {
+    void startTimesInFirstListOfServiceHaveNoLowerBound() throws Exception {
         endpointList.loadCached(
                 new Gson().fromJson(listJson(true, readyEntry("cached", loopTimeMs - 60_000)), JsonObject.class));
-        assertEquals(loopTimeMs - 60_000, startOf("cached"));
+        assertEquals(loopTimeMs - 60_000, startTimeOf("cached"));
         loopTimeMs += 300;
         applyDelta(readyEntry("first", loopTimeMs - 70_000));
-        assertEquals(loopTimeMs - 70_000, startOf("first"), "the cached list is of an unknown age");
+        assertEquals(loopTimeMs - 70_000, startTimeOf("first"), "the age of the cached list is unknown");
         loopTimeMs += 300;
         applySnapshot(OTHER_DISCOVERY, readyEntry("migrated", loopTimeMs - 80_000));
-        assertEquals(loopTimeMs - 80_000, startOf("migrated"), "another service may have known it for long");
+        assertEquals(loopTimeMs - 80_000, startTimeOf("migrated"), "the other service may have listed it before");
         double lastListAtMs = loopTimeMs;
         loopTimeMs += 300;
         applySnapshot(OTHER_DISCOVERY, readyEntry("next", loopTimeMs - 90_000));
-        assertEquals(lastListAtMs, startOf("next"), "the second list of that service");
+        assertEquals(lastListAtMs, startTimeOf("next"), "the second list of that service");
     }
 
-    /** An outage of discovery, with responses that can't be read, leaves the last applied one as what is known. */
+    /**
+     * Malformed responses during an outage of discovery must not move the lower bound, which is the last applied list.
+     */
     @Test
-    void listThatIsNotAppliedTellsNothingOfStarts() throws Exception {
+    void malformedListDoesNotAffectStartTimes() throws Exception {
         applySnapshot(DISCOVERY, readyEntry("s", loopTimeMs - 60_000));
-        double startMs = startOf("s");
+        double startMs = startTimeOf("s");
         double lastListAtMs = loopTimeMs;
         loopTimeMs += 20_000;
         String malformedList = listJson(true, readyEntry("s", loopTimeMs), readyEntry("new", 5), "{\"name\":\"x\"}");
@@ -209,46 +218,46 @@
         assertThrows(MalformedInputException.class, () -> apply(malformedList, OTHER_DISCOVERY));
         loopTimeMs += 20_000;
         applySnapshot(DISCOVERY, readyEntry("s", loopTimeMs - 100_000), readyEntry("new", 5));
-        assertEquals(lastListAtMs, startOf("new"), "it may have started in the outage");
-        assertEquals(startMs, startOf("s"), "its start did not change");
+        assertEquals(lastListAtMs, startTimeOf("new"), "it may have started during the outage");
+        assertEquals(startMs, startTimeOf("s"), "its start did not change");
     }
 
     @Test
-    void endpointWithoutAStartStartedLongAgo() throws Exception {
+    void missingStartTimeCountsAsLongAgo() throws Exception {
         String withoutSince = "{\"name\":\"s\",\"address\":\"127.0.0.1:9\",\"status\":\"in_service\"}";
         applySnapshot(DISCOVERY, readyEntry("zero", 0), withoutSince);
         applyDelta(readyEntry("new-zero", 0));
         for (String name : List.of("zero", "s", "new-zero")) {
-            assertEquals(0, startOf(name), name);
+            assertEquals(0, startTimeOf(name), name);
         }
         loopTimeMs += 1000;
         applyDelta(readyEntry("s", loopTimeMs - 100));
-        double startMs = startOf("s");
+        double startMs = startTimeOf("s");
         assertEquals(loopTimeMs - 100, startMs, "a restart");
         loopTimeMs += 1000;
         applyDelta(withoutSince);
-        assertEquals(startMs, startOf("s"), "an entry without a start does not tell of one");
+        assertEquals(startMs, startTimeOf("s"), "an entry without a start time does not indicate a restart");
         applyDelta(readyEntry("s", loopTimeMs - 1100));
-        assertEquals(startMs, startOf("s"), "no restart in between");
+        assertEquals(startMs, startTimeOf("s"), "no restart in between");
     }
 
     @Test
-    void removedNamesAreForgotten() throws Exception {
+    void removedNamesAreDiscarded() throws Exception {
         applySnapshot(DISCOVERY, readyEntry("s-0", loopTimeMs));
         int size = stateSize();
         for (int i = 1; i <= 200; i++) {
             loopTimeMs += 1000;
-            String added = readyEntry("s-" + i, loopTimeMs - 100);
+            String addedEntry = readyEntry("s-" + i, loopTimeMs - 100);
             if (i % 2 == 0) {
-                applySnapshot(DISCOVERY, added);
+                applySnapshot(DISCOVERY, addedEntry);
             } else {
-                applyDelta(added, entry("s-" + (i - 1), "terminated", 0));
+                applyDelta(addedEntry, entry("s-" + (i - 1), "terminated", 0));
             }
         }
         assertEquals(size, stateSize());
         double lastListAtMs = loopTimeMs;
         loopTimeMs += 1000;
         applyDelta(readyEntry("s-0", START_TIME_MS));
-        assertEquals(lastListAtMs, startOf("s-0"), "one that comes back is a new process");
+        assertEquals(lastListAtMs, startTimeOf("s-0"), "a name that is listed again is a new process");
     }
 }
--- a/core/src/test/java/stonelb/http/HttpParserTest.java
+++ b/core/src/test/java/stonelb/http/HttpParserTest.java
@@ -19,39 +19,40 @@
 import org.junit.jupiter.api.Test;
 import stonelb.io.InputBuffer;
 import stonelb.io.MalformedInputException;
-import stonelb.testing.RandomCuts;
+import stonelb.testing.RandomFragments;
 
-/** Messages in random cuts, garbage, and limits. */
+/** Tests the parser with randomly fragmented messages, garbage, and input beyond its limits. */
 class HttpParserTest {
     private static final int MAX_BODY_BYTES = 1000;
 
-    /** How a response states where its body ends. */
+    /** How the end of a response body is determined. */
     private enum BodyFraming {
         CONTENT_LENGTH,
         CHUNKED,
         UNTIL_CLOSE
     }
 
-    /** What a parser made of a connection's input; {@code rejection} is null where nothing was malformed. */
+    /** The result of parsing the input of a connection; {@code rejection} is null if nothing was malformed. */
     private record Outcome(List<String> messages, boolean incomplete, String rejection) {}
 
-    private static RandomCuts.Step into(HttpParser parser, List<HttpMessage> found) {
+    private static RandomFragments.ParseStep collectInto(HttpParser parser, List<HttpMessage> parsed) {
         return in -> {
-            for (HttpMessage m = parser.next(in); m != null; m = parser.next(in)) {
-                found.add(m);
+            for (HttpMessage message = parser.next(in); message != null; message = parser.next(in)) {
+                parsed.add(message);
             }
         };
     }
 
-    private static List<HttpMessage> read(boolean responses, String text) throws MalformedInputException {
-        List<HttpMessage> found = new ArrayList<>();
-        RandomCuts.feed(text.getBytes(StandardCharsets.ISO_8859_1), 5, into(new HttpParser(responses, 1000), found));
-        return found;
+    private static List<HttpMessage> parse(boolean responses, String text) throws MalformedInputException {
+        List<HttpMessage> parsed = new ArrayList<>();
+        RandomFragments.feed(
+                text.getBytes(StandardCharsets.ISO_8859_1), 5, collectInto(new HttpParser(responses, 1000), parsed));
+        return parsed;
     }
 
     @Property(seed = "43", tries = 300)
-    void bodiesAreCompleteForAnyCuts(
-            @ForAll @Size(min = 1, max = 4) List<byte[]> bodies, @ForAll boolean chunked, @ForAll long cuts)
+    void requestBodiesAreCompleteForAnyFragmentation(
+            @ForAll @Size(min = 1, max = 4) List<byte[]> bodies, @ForAll boolean chunked, @ForAll long fragmentSeed)
             throws MalformedInputException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         for (byte[] body : bodies) {
@@ -67,11 +68,11 @@
             out.writeBytes((chunked ? (body.length > 0 ? "\r\n" : "") + "0\r\nT: 1\r\n\r\n" : "")
                     .getBytes(StandardCharsets.US_ASCII));
         }
-        List<HttpMessage> found = new ArrayList<>();
-        RandomCuts.feed(out.toByteArray(), cuts, into(new HttpParser(false, 1 << 16), found));
-        assertEquals(bodies.size(), found.size());
+        List<HttpMessage> parsed = new ArrayList<>();
+        RandomFragments.feed(out.toByteArray(), fragmentSeed, collectInto(new HttpParser(false, 1 << 16), parsed));
+        assertEquals(bodies.size(), parsed.size());
         for (int i = 0; i < bodies.size(); i++) {
-            assertArrayEquals(bodies.get(i), found.get(i).body());
+            assertArrayEquals(bodies.get(i), parsed.get(i).body());
         }
     }
 
@@ -104,122 +105,128 @@
         out.writeBytes(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** Responses on one connection, after an interim one: by length and in chunks in turn, but for the last. */
-    private static byte[] connectionInput(List<byte[]> bodies, BodyFraming last, int chunkBytes) {
+    /** An interim response, then responses alternately chunked and with a Content-Length, except for the last one. */
+    private static byte[] connectionInput(List<byte[]> bodies, BodyFraming lastFraming, int chunkBytes) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         write(out, "HTTP/1.1 100 Continue\r\n\r\n");
         for (int i = 0; i < bodies.size(); i++) {
-            BodyFraming inTurn = i % 2 == 0 ? BodyFraming.CHUNKED : BodyFraming.CONTENT_LENGTH;
-            BodyFraming framing = i == bodies.size() - 1 ? last : inTurn;
+            BodyFraming alternating = i % 2 == 0 ? BodyFraming.CHUNKED : BodyFraming.CONTENT_LENGTH;
+            BodyFraming framing = i == bodies.size() - 1 ? lastFraming : alternating;
             out.writeBytes(response(bodies.get(i), framing, chunkBytes));
         }
         return out.toByteArray();
     }
 
     @Property(seed = "45", tries = 400)
-    void responsesAreCompleteForAnyCuts(
+    void responsesAreCompleteForAnyFragmentation(
             @ForAll @Size(min = 1, max = 4) List<byte[]> bodies,
-            @ForAll BodyFraming last,
+            @ForAll BodyFraming lastFraming,
             @ForAll @IntRange(min = 1, max = 40) int chunkBytes,
-            @ForAll long cuts)
+            @ForAll long fragmentSeed)
             throws MalformedInputException {
         HttpParser parser = new HttpParser(true, MAX_BODY_BYTES);
-        List<HttpMessage> found = new ArrayList<>();
-        RandomCuts.feed(connectionInput(bodies, last, chunkBytes), cuts, into(parser, found));
-        if (last == BodyFraming.UNTIL_CLOSE) {
-            assertEquals(bodies.size() - 1, found.size(), "the last body ends with the connection only");
-            found.add(parser.end());
+        List<HttpMessage> parsed = new ArrayList<>();
+        RandomFragments.feed(
+                connectionInput(bodies, lastFraming, chunkBytes), fragmentSeed, collectInto(parser, parsed));
+        if (lastFraming == BodyFraming.UNTIL_CLOSE) {
+            assertEquals(bodies.size() - 1, parsed.size(), "the last body ends only when the connection is closed");
+            parsed.add(parser.endOfInput());
         }
         assertFalse(parser.isMidMessage());
-        assertEquals(bodies.size(), found.size());
+        assertEquals(bodies.size(), parsed.size());
         for (int i = 0; i < bodies.size(); i++) {
-            assertArrayEquals(bodies.get(i), found.get(i).body());
+            assertArrayEquals(bodies.get(i), parsed.get(i).body());
         }
     }
 
-    /** Feeds the input in pieces of one byte, or of random lengths, or whole, and closes the connection. */
+    /** Parses the input as the feeder fragments it, then the end of the connection. */
     private static Outcome outcome(byte[] input, Feeder feeder) {
         HttpParser parser = new HttpParser(true, MAX_BODY_BYTES);
-        List<HttpMessage> found = new ArrayList<>();
+        List<HttpMessage> parsed = new ArrayList<>();
         String rejection = null;
         try {
-            feeder.feed(input, into(parser, found));
-            HttpMessage last = parser.end();
+            feeder.feed(input, collectInto(parser, parsed));
+            HttpMessage last = parser.endOfInput();
             if (last != null) {
-                found.add(last);
+                parsed.add(last);
             }
         } catch (MalformedInputException e) {
             rejection = e.getMessage();
         }
-        List<String> messages = found.stream()
+        List<String> messages = parsed.stream()
                 .map(message -> message.status() + " " + message.headers() + " " + Arrays.toString(message.body()))
                 .toList();
         return new Outcome(messages, rejection == null && parser.isMidMessage(), rejection);
     }
 
-    /** Passes input to a parser in pieces. */
+    /** Passes input to a parser, whole or in fragments. */
     private interface Feeder {
-        void feed(byte[] input, RandomCuts.Step step) throws MalformedInputException;
+        void feed(byte[] input, RandomFragments.ParseStep step) throws MalformedInputException;
     }
 
-    private static void feedWhole(byte[] input, RandomCuts.Step step) throws MalformedInputException {
-        feedInPiecesOf(input.length, input, step);
+    private static void feedUnfragmented(byte[] input, RandomFragments.ParseStep step) throws MalformedInputException {
+        feedFragmentsOf(input.length, input, step);
     }
 
-    private static void feedInPiecesOf(int bytes, byte[] input, RandomCuts.Step step) throws MalformedInputException {
+    private static void feedFragmentsOf(int bytes, byte[] input, RandomFragments.ParseStep step)
+            throws MalformedInputException {
         InputBuffer in = new InputBuffer(input.length);
         for (int start = 0; start < input.length; start += bytes) {
             in.append(input, start, Math.min(bytes, input.length - start));
-            step.read(in);
+            step.parse(in);
         }
     }
 
     @Property(seed = "46", tries = 1000)
-    void cutsNeverChangeWhatIsReadOrRejected(
+    void fragmentationDoesNotChangeMessagesOrRejection(
             @ForAll @Size(min = 1, max = 3) List<byte[]> bodies,
-            @ForAll BodyFraming last,
+            @ForAll BodyFraming lastFraming,
             @ForAll @IntRange(min = 1, max = 40) int chunkBytes,
             @ForAll boolean corrupted,
             @ForAll long seed) {
-        byte[] input = connectionInput(bodies, last, chunkBytes);
+        byte[] input = connectionInput(bodies, lastFraming, chunkBytes);
         if (corrupted) {
             Random random = new Random(seed);
             input[random.nextInt(input.length)] = (byte) "\r\n:; 09fF\u0000".charAt(random.nextInt(10));
         }
-        Outcome whole = outcome(input, HttpParserTest::feedWhole);
-        assertEquals(whole, outcome(input, (bytes, step) -> feedInPiecesOf(1, bytes, step)));
-        assertEquals(whole, outcome(input, (bytes, step) -> RandomCuts.feed(bytes, seed, step)));
+        Outcome expected = outcome(input, HttpParserTest::feedUnfragmented);
+        assertEquals(expected, outcome(input, (bytes, step) -> feedFragmentsOf(1, bytes, step)));
+        assertEquals(expected, outcome(input, (bytes, step) -> RandomFragments.feed(bytes, seed, step)));
     }
 
     @Test
-    void chunksWhoseSizesOverflowTogetherAreTooLarge() {
+    void rejectsChunkSizesWhoseSumOverflowsOrExceedsLimit() {
         String head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n";
         for (String size : List.of("7fffffff", "7FFFFFFF;x=y", "3e8", "80000000", "ffffffff")) {
-            assertThrows(MalformedInputException.class, () -> read(true, head + size + "\r\n"), size);
+            assertThrows(MalformedInputException.class, () -> parse(true, head + size + "\r\n"), size);
         }
     }
 
     @Property(seed = "44", tries = 500)
-    void garbageIsRejectedWithAMessage(@ForAll byte[] garbage, @ForAll long cuts, @ForAll boolean responses) {
+    void garbageIsParsedOrRejectedWithMessage(
+            @ForAll byte[] garbage, @ForAll long fragmentSeed, @ForAll boolean responses) {
         String start = responses ? "HTTP/1.1 200 OK\r\n" : "GET / HTTP/1.1\r\n";
-        byte[] all = (start + new String(garbage, StandardCharsets.ISO_8859_1)).getBytes(StandardCharsets.ISO_8859_1);
-        assertTrue(RandomCuts.survives(
-                cuts % 2 == 0 ? garbage : all, cuts, into(new HttpParser(responses, 1000), new ArrayList<>())));
+        byte[] withStartLine =
+                (start + new String(garbage, StandardCharsets.ISO_8859_1)).getBytes(StandardCharsets.ISO_8859_1);
+        assertTrue(RandomFragments.acceptsOrRejects(
+                fragmentSeed % 2 == 0 ? garbage : withStartLine,
+                fragmentSeed,
+                collectInto(new HttpParser(responses, 1000), new ArrayList<>())));
     }
 
     @Test
-    void interimResponsesAndThoseWithoutABody() throws MalformedInputException {
-        List<HttpMessage> found = read(
+    void skipsInterimResponsesAndParsesResponsesWithoutBody() throws MalformedInputException {
+        List<HttpMessage> parsed = parse(
                 true,
                 "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n"
                         + "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nSet-Cookie: a\r\nSet-Cookie: b\r\n\r\nok");
-        assertEquals(List.of(204, 200), found.stream().map(HttpMessage::status).toList());
-        assertEquals("a\nb", found.get(1).headers().get("set-cookie"));
+        assertEquals(List.of(204, 200), parsed.stream().map(HttpMessage::status).toList());
+        assertEquals("a\nb", parsed.get(1).headers().get("set-cookie"));
     }
 
     @Test
-    void ambiguousMessagesAreMalformed() {
-        for (String bad : List.of(
+    void rejectsAmbiguousOrMalformedHeaders() {
+        for (String header : List.of(
                 "Content-Length: 1\r\nContent-Length: 2",
                 "Content-Length: 1\r\nTransfer-Encoding: chunked",
                 "Transfer-Encoding: gzip",
@@ -229,7 +236,9 @@
                 " folded: x",
                 "A: b\rC: d")) {
             assertThrows(
-                    MalformedInputException.class, () -> read(false, "POST / HTTP/1.1\r\n" + bad + "\r\n\r\n"), bad);
+                    MalformedInputException.class,
+                    () -> parse(false, "POST / HTTP/1.1\r\n" + header + "\r\n\r\n"),
+                    header);
         }
     }
 }
--- a/core/src/test/java/stonelb/io/EventLoopTest.java
+++ b/core/src/test/java/stonelb/io/EventLoopTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import stonelb.testing.FaultyChannels;
 
-/** The event loop under failures of the system's calls. */
+/** Tests the event loop when system calls fail. */
 class EventLoopTest {
     private static final int CLIENTS = 3;
 
@@ -31,13 +31,13 @@
         loop.shutdown();
     }
 
-    /** All state belongs to the event-loop thread: a result on another one would corrupt it. */
+    /** All state is confined to the event-loop thread: a result reported on another thread would corrupt it. */
     @Test
-    void failedSocketIsReportedOnTheEventLoopAndNotFromWithinTheCall() throws Exception {
+    void reportsFailedSocketOnEventLoopAfterConnectReturns() throws Exception {
         channels.failingSockets.set(1);
         CompletableFuture<Thread> loopThread = new CompletableFuture<>();
         CompletableFuture<Thread> resultThread = new CompletableFuture<>();
-        CompletableFuture<Boolean> reportedWithin = new CompletableFuture<>();
+        CompletableFuture<Boolean> reportedDuringCall = new CompletableFuture<>();
         try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             loop.execute(() -> {
                 loopThread.complete(Thread.currentThread());
@@ -46,20 +46,20 @@
                         1000,
                         new ChannelInboundHandlerAdapter(),
                         result -> resultThread.complete(Thread.currentThread()));
-                reportedWithin.complete(resultThread.isDone());
+                reportedDuringCall.complete(resultThread.isDone());
             });
             assertEquals(loopThread.get(20, TimeUnit.SECONDS), resultThread.get(20, TimeUnit.SECONDS));
-            assertFalse(reportedWithin.get(20, TimeUnit.SECONDS));
+            assertFalse(reportedDuringCall.get(20, TimeUnit.SECONDS));
         }
     }
 
-    /** Requests on connections in the backlog have their deadlines: a failed accept must not stop the listener. */
+    /** Requests on connections in the backlog miss their deadlines if a failed accept stops the listener for long. */
     @Test
     void failedAcceptDelaysClientsByMillisecondsOnly() throws Exception {
         AtomicInteger accepted = new AtomicInteger();
         CompletableFuture<Void> allAccepted = new CompletableFuture<>();
-        InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        InetSocketAddress bound = (InetSocketAddress) loop.listen(any, () -> {
+        InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+        InetSocketAddress boundAddress = (InetSocketAddress) loop.listen(anyPort, () -> {
                     if (accepted.incrementAndGet() == CLIENTS) {
                         allAccepted.complete(null);
                     }
@@ -67,17 +67,17 @@
                 })
                 .localAddress();
         channels.failingAccepts.set(4);
-        long begun = System.nanoTime();
+        long startNanos = System.nanoTime();
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
-            clients.add(new Socket(bound.getAddress(), bound.getPort()));
+            clients.add(new Socket(boundAddress.getAddress(), boundAddress.getPort()));
         }
         allAccepted.get(20, TimeUnit.SECONDS);
         for (Socket client : clients) {
             client.close();
         }
-        double tookMs = (System.nanoTime() - begun) / 1e6;
-        assertTrue(tookMs < 500, "all were accepted after " + tookMs + " ms");
+        double elapsedMs = (System.nanoTime() - startNanos) / 1e6;
+        assertTrue(elapsedMs < 500, "all were accepted after " + elapsedMs + " ms");
         assertEquals(0, channels.failingAccepts.get());
     }
 }
--- a/core/src/test/java/stonelb/testing/FaultyChannels.java
+++ b/core/src/test/java/stonelb/testing/FaultyChannels.java
@@ -19,41 +19,41 @@
 import stonelb.io.ChannelProvider;
 
 /**
- * Channels on the sockets of the system that fail, shorten or delay on command, as the system does under faults. Commands
- * may come from any thread; counters count down with each fault.
+ * Channels on real sockets that inject failures, short reads, short writes and blocked writes. The settings may be changed
+ * from any thread; the counters of failures are decremented with each failure injected.
  */
 public final class FaultyChannels implements ChannelProvider {
-    /** How many further sockets can't be created (ENFILE, ENOBUFS). */
+    /** How many of the next sockets can't be created (ENFILE, ENOBUFS). */
     public final AtomicInteger failingSockets = new AtomicInteger();
 
-    /** How many further connects fail at once (EADDRNOTAVAIL, ENETUNREACH). */
+    /** How many of the next connects fail immediately (EADDRNOTAVAIL, ENETUNREACH). */
     public final AtomicInteger failingConnects = new AtomicInteger();
 
-    /** How many further accepts fail (ECONNABORTED, ENFILE, ENOBUFS). */
+    /** How many of the next accepts fail (ECONNABORTED, ENFILE, ENOBUFS). */
     public final AtomicInteger failingAccepts = new AtomicInteger();
 
-    /** How many bytes were read from accepted connections. */
+    /** The number of bytes read from accepted connections. */
     public final AtomicLong bytesRead = new AtomicLong();
 
-    /** The same by the port of the client. */
+    /** The number of bytes read from accepted connections, by the port of the client. */
     public final Map<Integer, Long> bytesReadByPort = new ConcurrentHashMap<>();
 
-    /** The most bytes that a read of an accepted connection returns. */
+    /** The maximum number of bytes that a read from an accepted connection returns. */
     public volatile int maxReadBytes = Integer.MAX_VALUE;
 
-    /** The most bytes that a write takes at a time, on any channel. */
+    /** The maximum number of bytes that one write accepts, on any channel. */
     public volatile int maxWriteBytes = Integer.MAX_VALUE;
 
-    /** How many bytes the sockets take in all before they take no more. */
+    /** The total number of bytes that all sockets together still accept. */
     public final AtomicLong writeBudget = new AtomicLong(Long.MAX_VALUE);
 
-    private static boolean takeOne(AtomicInteger faults) {
+    private static boolean consumeFault(AtomicInteger faults) {
         return faults.getAndUpdate(left -> Math.max(0, left - 1)) > 0;
     }
 
     @Override
     public SocketChannel newSocketChannel() {
-        if (takeOne(failingSockets)) {
+        if (consumeFault(failingSockets)) {
             throw new ChannelException(new SocketException("Too many open files in system"));
         }
         return new OutboundChannel();
@@ -64,8 +64,9 @@
         return new ListeningChannel();
     }
 
-    /** Writes a part of what is to be written, as a full socket does; returns whether there was anything to write. */
-    private boolean writePart(ChannelOutboundBuffer out, java.nio.channels.SocketChannel socket) throws IOException {
+    /** Writes a part of the output, as a socket with a full buffer does; false if writes are unlimited or none is pending. */
+    private boolean writePartially(ChannelOutboundBuffer out, java.nio.channels.SocketChannel socket)
+            throws IOException {
         boolean limited = maxWriteBytes < Integer.MAX_VALUE || writeBudget.get() < Long.MAX_VALUE;
         if (!limited || !(out.current() instanceof ByteBuf bytes)) {
             return false;
@@ -76,7 +77,7 @@
         return true;
     }
 
-    /** A channel whose writes are shortened. */
+    /** A channel whose writes may be short. */
     private abstract class ShortWriteChannel extends NioSocketChannel {
         ShortWriteChannel() {}
 
@@ -86,7 +87,7 @@
 
         @Override
         protected void doWrite(ChannelOutboundBuffer out) throws Exception {
-            if (writePart(out, javaChannel())) {
+            if (writePartially(out, javaChannel())) {
                 incompleteWrite(true);
             } else {
                 super.doWrite(out);
@@ -97,7 +98,7 @@
     private final class OutboundChannel extends ShortWriteChannel {
         @Override
         protected boolean doConnect(SocketAddress remoteAddress, SocketAddress localAddress) throws Exception {
-            if (takeOne(failingConnects)) {
+            if (consumeFault(failingConnects)) {
                 throw new SocketException("Network is unreachable");
             }
             return super.doConnect(remoteAddress, localAddress);
@@ -107,7 +108,7 @@
     private final class ListeningChannel extends NioServerSocketChannel {
         @Override
         protected int doReadMessages(List<Object> accepted) throws Exception {
-            if (takeOne(failingAccepts)) {
+            if (consumeFault(failingAccepts)) {
                 throw new IOException("Software caused connection abort");
             }
             java.nio.channels.SocketChannel socket = javaChannel().accept();
--- a/core/src/test/java/stonelb/testing/SteppingClock.java
+++ b/core/src/test/java/stonelb/testing/SteppingClock.java
@@ -3,19 +3,19 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.DoubleSupplier;
 
-/** A running clock in milliseconds that a test steps forward. */
+/** A running clock in milliseconds that a test can step forward. */
 public final class SteppingClock implements DoubleSupplier {
     private static final double NANOS_PER_MS = 1e6;
 
-    private final AtomicLong steppedMs = new AtomicLong();
+    private final AtomicLong offsetMs = new AtomicLong();
 
     @Override
     public double getAsDouble() {
-        return System.nanoTime() / NANOS_PER_MS + steppedMs.get();
+        return System.nanoTime() / NANOS_PER_MS + offsetMs.get();
     }
 
     /** Steps the clock forward. */
     public void step(long ms) {
-        steppedMs.addAndGet(ms);
+        offsetMs.addAndGet(ms);
     }
 }
--- a/core/src/test/java/stonelb/testing/package-info.java
+++ b/core/src/test/java/stonelb/testing/package-info.java
@@ -1,2 +1,2 @@
-/** Helpers of the tests of this and other modules. */
+/** Test helpers of this and other modules. */
 package stonelb.testing;
--- a/decision/src/main/java/stonelb/decision/Admission.java
+++ b/decision/src/main/java/stonelb/decision/Admission.java
@@ -1,9 +1,10 @@
 package stonelb.decision;
 
 /**
- * What a customer's quota says of a request.
+ * The decision of a customer's quota on a request.
  *
- * @param retryAfterMs 0 to admit it, below 0 to hold it until the counter has answered, else the time to stay away
+ * @param retryAfterMs 0 if it is admitted, negative if it is held until the counter has answered, else the time
+ *     after which the client may retry
  */
 record Admission(double retryAfterMs) {
     static final Admission ADMIT = new Admission(0);
--- a/decision/src/main/java/stonelb/decision/AdmissionRequest.java
+++ b/decision/src/main/java/stonelb/decision/AdmissionRequest.java
@@ -1,6 +1,11 @@
 package stonelb.decision;
 
-/** A client's try. {@code width} is the number of gateways that the customer uses. */
+/**
+ * A client's request for admission.
+ *
+ * @param spread the number of gateways that the customer uses
+ * @param retry whether the client repeats an earlier request
+ */
 public record AdmissionRequest(
         long id,
         int requestClass,
--- a/decision/src/main/java/stonelb/decision/Attempt.java
+++ b/decision/src/main/java/stonelb/decision/Attempt.java
@@ -28,7 +28,7 @@
         ended = true;
     }
 
-    /** Whether it was given up on; it is in flight still, and holds no slot. */
+    /** Whether it has timed out; it is still in flight, but holds no slot. */
     boolean hasTimedOut() {
         return timedOut;
     }
--- a/decision/src/main/java/stonelb/decision/AttemptFeedback.java
+++ b/decision/src/main/java/stonelb/decision/AttemptFeedback.java
@@ -1,6 +1,6 @@
 package stonelb.decision;
 
-/** Updates endpoint health, service times and the strain on the slots by the result of an attempt. */
+/** Updates endpoint health, service times and the slot limit by the result of an attempt. */
 record AttemptFeedback(EndpointHealth health, LatencyRules latency, SlotAllocator slots) {
     private static final double MAX_LATENCY_RATIO = 20;
 
@@ -12,8 +12,8 @@
             case OK -> {
                 latency.times().answered(request, result.latencyMs());
                 double ratio = result.latencyMs() / Math.max(1, latency.times().expectedMs(request));
-                endpoint.succeeded(now, classIndex, Math.min(ratio, MAX_LATENCY_RATIO));
-                slots.responded(result.latencyMs(), latency.showsStrain(request, result.latencyMs()));
+                endpoint.recordSuccess(now, classIndex, Math.min(ratio, MAX_LATENCY_RATIO));
+                slots.responded(result.latencyMs(), latency.showsCongestion(request, result.latencyMs()));
             }
             case REJECTED -> {
                 endpoint.ejectUntil(now + EndpointHealth.REJECTION_PAUSE_MS);
@@ -21,13 +21,13 @@
             }
             case ERROR -> {
                 health.eject(now, endpoint, classIndex);
-                endpoint.failed(now);
+                endpoint.recordError(now);
             }
-            case CONNECT_FAILED, RESET -> health.unreachable(now, endpoint, classIndex);
+            case CONNECT_FAILED, RESET -> health.markUnreachable(now, endpoint, classIndex);
             case TIMEOUT -> {
-                if (!attempt.hasTimedOut()) { // else the endpoint is silent, which tells nothing of the load
+                if (!attempt.hasTimedOut()) { // a silent endpoint says nothing about load
                     latency.times().timedOut(request, result.latencyMs());
-                    slots.responded(result.latencyMs(), latency.showsStrain(request, result.latencyMs()));
+                    slots.responded(result.latencyMs(), latency.showsCongestion(request, result.latencyMs()));
                 }
             }
             case CANCELLED, NOT_SENT -> {}
--- a/decision/src/main/java/stonelb/decision/AttemptResult.java
+++ b/decision/src/main/java/stonelb/decision/AttemptResult.java
@@ -1,8 +1,10 @@
 package stonelb.decision;
 
 /**
- * How one attempt ended. {@code closed}: the client has its answer. {@code cost} is the true units, 0 if
- * not told.
+ * How one attempt ended.
+ *
+ * @param answered whether the client got its answer from this attempt
+ * @param actualUnits the units that the request turned out to cost, 0 if the response did not say
  */
 public record AttemptResult(
         long requestId,
@@ -11,4 +13,4 @@
         Outcome outcome,
         double latencyMs,
         boolean answered,
-        double settledUnits) {}
+        double actualUnits) {}
--- a/decision/src/main/java/stonelb/decision/AttemptTimeouts.java
+++ b/decision/src/main/java/stonelb/decision/AttemptTimeouts.java
@@ -1,8 +1,8 @@
 package stonelb.decision;
 
 /**
- * Times out attempts that take several times what is expected: their endpoint is silent or slow, or they
- * block a slot. If all endpoints are slow, hedging doubles the load until the expectation catches up.
+ * Times out attempts that take several times the expected time: their endpoint is silent or slow, or they
+ * block a slot. If all endpoints are slow, hedging doubles the load until the expected time catches up.
  */
 record AttemptTimeouts(
         DecisionSettings settings,
@@ -13,8 +13,8 @@
         RequestDispatcher dispatcher,
         DecisionActions actions) {
     private static final double MIN_TIMEOUT_MS = 200;
-    private static final double TIMEOUT_FACTOR = 7; // in expected times
-    private static final double RESPONDING_FACTOR = 3; // times that, where the endpoint responds to others
+    private static final double TIMEOUT_FACTOR = 7; // multiple of the expected time
+    private static final double RESPONDING_FACTOR = 3; // on top, if the endpoint responds to others
 
     /** On a time-out, ejects the endpoint, frees the slot, and hedges or finishes the request. */
     void check(double now, OpenRequest request) {
@@ -24,22 +24,22 @@
         }
         AttemptLimits limits = settings.attemptLimits();
         boolean inTime = latency.isInTime(now, request);
-        TrackedEndpoint other = inTime && limits.hedging() ? selector.select(now, request) : null;
+        TrackedEndpoint alternative = inTime && limits.hedging() ? selector.select(now, request) : null;
         if (!attempt.hasTimedOut()) {
             attempt.markTimedOut();
             slots.counts().release(request.tier());
             health.eject(now, attempt.endpoint(), request.classIndex());
         }
-        boolean elsewhere = other != null && other != attempt.endpoint();
-        if (elsewhere && !health.isEjected(now, other, request.classIndex())) {
-            dispatcher.send(now, request, other);
+        boolean hasAlternative = alternative != null && alternative != attempt.endpoint();
+        if (hasAlternative && !health.isEjected(now, alternative, request.classIndex())) {
+            dispatcher.send(now, request, alternative);
             return;
         }
         if (!limits.hedging() && limits.cancellation() && request.idempotency() == Idempotency.IDEMPOTENT) {
             actions.cancel(request.id(), request.attempts().size() - 1);
         }
         if (!inTime) {
-            dispatcher.finish(request); // rather than wait for its deadline
+            dispatcher.finish(request); // instead of waiting for its deadline
         }
     }
 
--- a/decision/src/main/java/stonelb/decision/CounterAccount.java
+++ b/decision/src/main/java/stonelb/decision/CounterAccount.java
@@ -4,7 +4,7 @@
 import java.util.Deque;
 import java.util.Map;
 
-/** One customer's calls to the shared counter under the name of the present window, and what they have shown. */
+/** One customer's calls to the shared counter under the name of the current window, and the results of these calls. */
 final class CounterAccount {
     private static final long NO_WINDOW = Long.MIN_VALUE;
 
@@ -17,11 +17,11 @@
     private final Map<Long, Long> customersByName;
     private final long customer;
     private final CounterWindow window;
-    private final double keepMs;
-    private final Deque<CallType> unanswered = new ArrayDeque<>();
+    private final double ttlMs;
+    private final Deque<CallType> pendingCalls = new ArrayDeque<>();
     private long windowIndex = NO_WINDOW;
 
-    /** The counter name of the present window; of no meaning where there is none. */
+    /** The counter name of the current window; undefined if there is no window yet. */
     private long name;
 
     private boolean querying;
@@ -30,21 +30,21 @@
     private double unconfirmed;
     private double expiring;
 
-    /** @param keepMs how long the counter keeps a name */
-    CounterAccount(LeaseContext context, long customer, double keepMs) {
+    /** @param ttlMs how long the counter keeps a name after a call */
+    CounterAccount(LeaseContext context, long customer, double ttlMs) {
         actions = context.actions();
         customersByName = context.customersByName();
         this.customer = customer;
         window = new CounterWindow(customer);
-        this.keepMs = keepMs;
+        this.ttlMs = ttlMs;
     }
 
-    /** Time since the present window of this length began. */
+    /** The time since the current window of this length began. */
     double windowAgeMs(double now, double windowMs) {
         return window.ageMs(now, windowMs);
     }
 
-    /** Moves on to the name of the present window; tells whether it is a new one. */
+    /** Switches to the name of the current window; returns whether it is a new one. */
     boolean moveToWindow(double now, double windowMs) {
         long index = window.index(now, windowMs);
         if (index == windowIndex) {
@@ -54,7 +54,7 @@
         windowIndex = index;
         name = window.counterName(index);
         customersByName.put(name, customer);
-        unanswered.clear();
+        pendingCalls.clear();
         lastTotal = 0;
         unconfirmed = 0;
         expiring = 0;
@@ -65,33 +65,33 @@
         return hasWindow() && counterName == name;
     }
 
-    /** Adds an amount, and waits for the total. */
+    /** Adds an amount to the counter and expects the new total in the answer. */
     void query(double amount) {
         querying = true;
         queriedAmount = amount;
         add(CallType.QUERY, amount);
     }
 
-    /** Takes units off the quota for good. */
+    /** Removes unused units from the quota by adding them to the counter. */
     void expire(double units) {
         expiring = units;
         adjust(units);
     }
 
-    /** Moves the total without asking anything of it. */
+    /** Adds an amount to the counter; the total in the answer is not needed. */
     void adjust(double amount) {
         lastTotal += amount;
         add(CallType.ADJUSTMENT, amount);
     }
 
     private void add(CallType type, double amount) {
-        unanswered.add(type);
-        actions.addToCounter(name, amount, keepMs);
+        pendingCalls.add(type);
+        actions.addToCounter(name, amount, ttlMs);
     }
 
-    /** Takes the oldest call off the list; tells whether it was a query. */
-    boolean answered() {
-        boolean query = unanswered.poll() == CallType.QUERY;
+    /** Removes the oldest pending call; returns whether it was a query. */
+    boolean callAnswered() {
+        boolean query = pendingCalls.poll() == CallType.QUERY;
         querying &= !query;
         return query;
     }
@@ -100,23 +100,23 @@
         return querying;
     }
 
-    /** The amount that the last query has added. */
+    /** The amount that the last query added. */
     double queriedAmount() {
         return queriedAmount;
     }
 
-    /** What others have added since the last total, by the total that answers a query. */
+    /** The amount that other gateways have added since the last total, given the total that answers a query. */
     double addedByOthers(double total) {
         return total - lastTotal - queriedAmount;
     }
 
-    /** Takes in the total that answers a query, which shows what was added before. */
+    /** Records the total that answers a query. It settles which earlier amounts were added. */
     void totalReceived(double total) {
         lastTotal = total;
         unconfirmed = 0;
     }
 
-    /** Units that may already be on the counter, since the queries that added them had no answer. */
+    /** Units that the counter may already include, as the queries that added them were not answered. */
     double unconfirmed() {
         return unconfirmed;
     }
@@ -125,7 +125,7 @@
         unconfirmed += amount;
     }
 
-    /** Units that this gateway took off the quota by an adjustment that is not answered yet. */
+    /** Unused units that this gateway let expire by an adjustment that is not answered yet. */
     double expiring() {
         return expiring;
     }
@@ -134,7 +134,7 @@
         expiring = 0;
     }
 
-    /** Takes no more answers. */
+    /** Ends the use of the counter name; later answers are ignored. */
     void close() {
         releaseName();
     }
--- a/decision/src/main/java/stonelb/decision/CounterSettings.java
+++ b/decision/src/main/java/stonelb/decision/CounterSettings.java
@@ -1,4 +1,4 @@
 package stonelb.decision;
 
-/** The shared counter; without one, customers are held to local shares. */
+/** Settings of the shared counter. Without a counter, each gateway enforces its own share of a quota. */
 public record CounterSettings(boolean present, double timeoutMs) {}
--- a/decision/src/main/java/stonelb/decision/CounterState.java
+++ b/decision/src/main/java/stonelb/decision/CounterState.java
@@ -1,14 +1,14 @@
 package stonelb.decision;
 
-/** What the shared counter's last answers have shown. */
+/** The state of the shared counter as shown by its last answers. */
 final class CounterState {
     private double batch = 1;
-    private int timeouts;
-    private double silentSinceMs;
+    private int consecutiveTimeouts;
+    private double unresponsiveSinceMs;
     private double nextCallAtMs;
     private double resetAtMs = Double.NEGATIVE_INFINITY;
 
-    /** How many requests' worth of units a call should stand for; 1 while the counter is not overloaded. */
+    /** The number of requests whose units a call should cover; 1 while the counter is not overloaded. */
     double batch() {
         return batch;
     }
@@ -17,32 +17,35 @@
         this.batch = batch;
     }
 
-    /** Calls in a row without an answer. */
-    int timeouts() {
-        return timeouts;
+    /** The number of consecutive calls without an answer. */
+    int consecutiveTimeouts() {
+        return consecutiveTimeouts;
     }
 
-    /** A call had no answer; the next may be made at that time. */
+    /** Records a call without an answer; the next call may be made at {@code nextCallAtMs}. */
     void timedOut(double now, double nextCallAtMs) {
-        silentSinceMs = timeouts == 0 ? now : silentSinceMs;
-        timeouts++;
+        unresponsiveSinceMs = consecutiveTimeouts == 0 ? now : unresponsiveSinceMs;
+        consecutiveTimeouts++;
         this.nextCallAtMs = nextCallAtMs;
     }
 
     void answered() {
-        timeouts = 0;
+        consecutiveTimeouts = 0;
     }
 
-    /** When the first of the calls in a row without an answer has failed. */
-    double silentSinceMs() {
-        return silentSinceMs;
+    /** When the first of the consecutive calls without an answer failed. */
+    double unresponsiveSinceMs() {
+        return unresponsiveSinceMs;
     }
 
     double nextCallAtMs() {
         return nextCallAtMs;
     }
 
-    /** When it came back from a silence in which it may have lost its counts: one total does not show that. */
+    /**
+     * When it last answered again after an outage in which it may have lost its counts. A single total
+     * does not show whether it has.
+     */
     double resetAtMs() {
         return resetAtMs;
     }
--- a/decision/src/main/java/stonelb/decision/CounterWindow.java
+++ b/decision/src/main/java/stonelb/decision/CounterWindow.java
@@ -1,6 +1,6 @@
 package stonelb.decision;
 
-/** The time windows of one customer's counter names; the windows of different customers begin at different times. */
+/** The time windows of one customer's counter names. Windows of different customers begin at different times. */
 final class CounterWindow {
     private static final long MAX_OFFSET_MS = 1L << 20;
     private static final long INDEX_MULTIPLIER = 0x9e3779b97f4a7c15L;
@@ -13,12 +13,12 @@
         offsetMs = Math.floorMod(customerHash, MAX_OFFSET_MS);
     }
 
-    /** Time since the present window of this length began. */
+    /** The time since the current window of this length began. */
     double ageMs(double now, double lengthMs) {
         return (now + offsetMs) % lengthMs;
     }
 
-    /** The number of the present window of this length. */
+    /** The index of the current window of this length. */
     long index(double now, double lengthMs) {
         return Math.round((now + offsetMs - ageMs(now, lengthMs)) / lengthMs);
     }
--- a/decision/src/main/java/stonelb/decision/Customer.java
+++ b/decision/src/main/java/stonelb/decision/Customer.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A customer at this gateway: its lease, and the requests that wait for the counter. */
+/** The state of a customer at this gateway: its lease and the requests that are held for the counter. */
 final class Customer {
     private final QuotaLease lease;
     private final List<OpenRequest> waiting = new ArrayList<>();
@@ -26,14 +26,14 @@
         return !waiting.isEmpty();
     }
 
-    /** The requests that were held, in order of arrival; they are held no more. */
+    /** Releases the held requests and returns them in order of arrival. */
     List<OpenRequest> release() {
         List<OpenRequest> released = List.copyOf(waiting);
         waiting.clear();
         return released;
     }
 
-    /** Whether its next requests are likely retries of some that were rejected. */
+    /** Whether its next requests are probably retries of rejected requests. */
     boolean expectsRetries(double now) {
         return now < retriesExpectedUntilMs;
     }
--- a/decision/src/main/java/stonelb/decision/FadingMean.java
+++ b/decision/src/main/java/stonelb/decision/DecayingMean.java
@@ -1,14 +1,14 @@
 package stonelb.decision;
 
-/** A mean with a number of samples behind it that fades with time, so that old samples give way to new ones. */
-final class FadingMean {
+/** A mean whose sample count decays with time, so that new samples outweigh old ones. */
+final class DecayingMean {
     private final double initial;
     private final double maxSamples;
     private final double minWeight;
     private double samples;
     private double value;
 
-    FadingMean(double initial, double maxSamples, double minWeight) {
+    DecayingMean(double initial, double maxSamples, double minWeight) {
         this.initial = initial;
         this.maxSamples = maxSamples;
         this.minWeight = minWeight;
@@ -20,7 +20,7 @@
         value += Math.max(minWeight, 1 / samples) * (sample - value);
     }
 
-    void fade(double factor) {
+    void decay(double factor) {
         samples *= factor;
     }
 
@@ -29,8 +29,8 @@
         value = initial;
     }
 
-    /** The mean together with {@code priorSamples} samples of 1, which outweigh it while it has few of its own. */
-    double shrunkToOne(double priorSamples) {
+    /** The mean with {@code priorSamples} samples of 1 added, which dominate while it has few samples of its own. */
+    double meanWithPrior(double priorSamples) {
         return (samples * value + priorSamples) / (samples + priorSamples);
     }
 }
--- a/decision/src/main/java/stonelb/decision/DecayingRatio.java
+++ b/decision/src/main/java/stonelb/decision/DecayingRatio.java
@@ -1,6 +1,6 @@
 package stonelb.decision;
 
-/** The ratio of two sums of which every addition fades the earlier ones. */
+/** The ratio of two sums in which earlier additions decay exponentially. */
 final class DecayingRatio {
     private final double decay;
     private double numerator;
@@ -21,7 +21,7 @@
         return numerator / denominator;
     }
 
-    /** The faded sum below the line, which tells how much the ratio rests on. */
+    /** The decayed denominator, which shows how much data the ratio rests on. */
     double denominator() {
         return denominator;
     }
--- a/decision/src/main/java/stonelb/decision/DecisionActions.java
+++ b/decision/src/main/java/stonelb/decision/DecisionActions.java
@@ -1,26 +1,26 @@
 package stonelb.decision;
 
-/** What a host does for the module. Actions take effect at once, in the order of the calls. */
+/** The actions that the decision module requests from its host. They take effect immediately, in call order. */
 public interface DecisionActions {
 
-    /** Starts an attempt; {@code patienceMs} 0 waits as long as the client does. */
-    void forward(long id, long server, double patienceMs);
+    /** Starts an attempt; a {@code timeoutMs} of 0 waits until the client's deadline. */
+    void forward(long requestId, long endpoint, double timeoutMs);
 
-    /** Cancels an attempt; its end is reported all the same. */
-    void cancel(long id, int attempt);
+    /** Cancels an attempt; its result is still reported. */
+    void cancel(long requestId, int attempt);
 
-    /** A final answer: refused, and harmless to try again. */
-    void reject(long id, double retryAfterMs);
+    /** Rejects a request with a final answer; the client can retry it safely. */
+    void reject(long requestId, double retryAfterMs);
 
-    /** A final answer that promises nothing. */
-    void fail(long id);
+    /** Fails a request with a final answer; the request may have been executed. */
+    void fail(long requestId);
 
-    /** Fires a timer with this token after a time. */
-    void schedule(double afterMs, long token);
+    /** Schedules a timer that fires with this token after the delay. */
+    void schedule(double delayMs, long token);
 
-    /** Adds an amount to a counter name, which is kept for at least that time, and reports its total. */
-    void addToCounter(long name, double amount, double keepMs);
+    /** Adds an amount to the counter of this name, which is retained for at least that time, and reports its total. */
+    void addToCounter(long name, double amount, double retentionMs);
 
-    /** Asks for a full endpoint list and its changes. */
+    /** Requests the full endpoint list and subsequent changes to it. */
     void watchEndpoints();
 }
--- a/decision/src/main/java/stonelb/decision/DecisionEngine.java
+++ b/decision/src/main/java/stonelb/decision/DecisionEngine.java
@@ -3,42 +3,42 @@
 import java.util.List;
 
 /**
- * What a gateway tells the decision module, and what the module may ask of its host.
+ * The events that a host passes to the decision module, and the state that it may read from it.
  *
- * <p>A host makes one instance for each gateway process and calls it from one thread. Every call
- * carries the host's clock in milliseconds; the module reads no other. Servers, requests and
- * customers are numbers chosen by the host and returned unaltered.
+ * <p>A host creates one instance per gateway process and calls it from a single thread. Every call
+ * carries the time of the host's clock in milliseconds; the module reads no other clock. Endpoints,
+ * requests and customers are identified by numbers that the host chooses and gets back unchanged.
  */
 public interface DecisionEngine {
 
-    // The events.
+    // Events.
 
-    /** An endpoint list has arrived, or could not be had. */
-    void endpointsChanged(double now, EndpointListType mode, List<Endpoint> list);
+    /** An endpoint list has arrived, or could not be fetched. */
+    void endpointsChanged(double now, EndpointListType type, List<Endpoint> list);
 
     /** A client's request has arrived. */
     void requestReceived(double now, AdmissionRequest request);
 
-    /** A streamed answer has begun: the attempt belongs to the client. */
-    void responseStarted(double now, long id, int attempt);
+    /** A streamed response has started: this attempt answers the request. */
+    void responseStarted(double now, long requestId, int attempt);
 
     /** An attempt has ended. */
-    void attemptEnded(double now, AttemptResult ended);
+    void attemptEnded(double now, AttemptResult result);
 
-    /** The client has gone, or its time has run out: nothing more is owed. */
-    void requestWithdrawn(double now, long id);
+    /** The client has disconnected or its deadline has passed: the request needs no answer any more. */
+    void requestWithdrawn(double now, long requestId);
 
-    /** A counter call's answer; {@code total} holds with OK only. Answers for a name come in call order. */
-    void counterAnswered(double now, long name, Outcome how, double tookMs, double total);
+    /** The answer to a counter call; {@code total} is valid only with OK. Answers for a name arrive in call order. */
+    void counterAnswered(double now, long name, Outcome outcome, double latencyMs, double total);
 
     /** A scheduled timer is due. */
     void timerFired(double now, long token);
 
-    // What a host may read, to hand it to those who follow the decisions elsewhere. Reading changes nothing.
+    // State that a host may read and pass on to proxies that apply the same limits. Reading has no side effects.
 
-    /** The tier of a class and plan, from 0, the cheapest. */
-    int tierOf(int requestClass, int plan);
+    /** The priority tier of a class and plan; 0 is the lowest. */
+    int tierOf(int classIndex, int planIndex);
 
-    /** By tier, the most attempts that may be out at once: its reserve and the shared slots. Their sum is over n. */
+    /** Per tier, the maximum attempts in flight: its reserve plus all shared slots, so the sum exceeds the slot limit. */
     int[] slotLimits();
 }
--- a/decision/src/main/java/stonelb/decision/DecisionSettings.java
+++ b/decision/src/main/java/stonelb/decision/DecisionSettings.java
@@ -2,7 +2,15 @@
 
 import java.util.List;
 
-/** All that a gateway is told when it starts. */
+/**
+ * The settings of an engine, fixed at its start.
+ *
+ * @param gateways the number of gateways that share the endpoints and quotas
+ * @param timerResolutionMs the interval at which the host's clock and timers advance
+ * @param endpointsOnRequest whether the host sends endpoint lists only after {@link DecisionActions#watchEndpoints}
+ * @param chargesActualUnits whether quotas are corrected by the units that responses report
+ * @param maxUnits the units of the largest request, 0 if unknown
+ */
 public record DecisionSettings(
         int gateways,
         List<RequestClass> classes,
@@ -10,7 +18,7 @@
         AttemptLimits attemptLimits,
         SlowStart slowStart,
         CounterSettings counter,
-        double stepMs,
+        double timerResolutionMs,
         boolean endpointsOnRequest,
-        boolean settledAfterwards,
-        double largestUnits) {}
+        boolean chargesActualUnits,
+        double maxUnits) {}
--- a/decision/src/main/java/stonelb/decision/DeduplicationScope.java
+++ b/decision/src/main/java/stonelb/decision/DeduplicationScope.java
@@ -1,13 +1,13 @@
 package stonelb.decision;
 
-/** For keyed requests: the servers that drop each other's repeats. */
+/** The endpoints that share idempotency keys, so that one recognises a retry of a request sent to another. */
 public enum DeduplicationScope {
     ALL,
     ZONE,
     CELL;
 
     /** Whether two endpoints recognise each other's idempotency keys. */
-    boolean joins(TrackedEndpoint first, TrackedEndpoint second) {
+    boolean includesBoth(TrackedEndpoint first, TrackedEndpoint second) {
         return switch (this) {
             case ALL -> true;
             case ZONE -> first.zone() == second.zone();
--- a/decision/src/main/java/stonelb/decision/DefaultDecisionEngine.java
+++ b/decision/src/main/java/stonelb/decision/DefaultDecisionEngine.java
@@ -5,12 +5,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** Handles the events of one gateway: a request passes its quota, the slots and endpoint selection. */
+/** Handles the events of one gateway: a request goes through its quota, the slots and endpoint selection. */
 public final class DefaultDecisionEngine implements DecisionEngine {
     private static final double TICK_MS = 50;
-    private static final double SPLIT_PERIOD_MS = 2000; // of the slots
+    private static final double SPLIT_PERIOD_MS = 2000; // between two splits of the slots among tiers
     private static final long TICK_TOKEN = 1;
-    private static final int REQUEST_TOKEN_SHIFT = 3; // a request's timer token is its id, shifted
+    private static final int REQUEST_TOKEN_SHIFT = 3; // a request's timer token is its shifted id
 
     private final DecisionSettings settings;
     private final DecisionActions actions;
@@ -37,7 +37,7 @@
         } else {
             parts.endpoints().update(now, type, list);
         }
-        parts.slots().endpointsKnown(parts.endpoints().readyCount());
+        parts.slots().setInitialLimit(parts.endpoints().readyCount());
     }
 
     @Override
@@ -45,16 +45,16 @@
         OpenRequest request =
                 new OpenRequest(now, arrival, settings, parts.slots().tiers());
         parts.requests().add(request);
-        // The client gets an answer before its deadline even if the endpoint's is lost.
-        double timeLeftMs = Math.max(0, arrival.deadlineMs() - settings.stepMs() - now);
+        // Answers the client before its deadline even if the endpoint's response is lost.
+        double timeLeftMs = Math.max(0, arrival.deadlineMs() - settings.timerResolutionMs() - now);
         actions.schedule(timeLeftMs, arrival.id() << REQUEST_TOKEN_SHIFT);
-        if (parts.latency().leavesTooLittleTime(now, request)) {
+        if (parts.latency().shouldShed(now, request)) {
             parts.dispatcher().reject(request, settings.attemptLimits().maxRetryAfterMs());
             return;
         }
         request.setCustomer(customers.computeIfAbsent(
                 arrival.customer(), id -> new Customer(parts.leases().open(now, arrival))));
-        // Without a free slot, no units are taken from the counter in advance.
+        // While no slot is free, no units are taken from the counter before admission.
         admit(
                 now,
                 request,
@@ -72,10 +72,10 @@
         }
     }
 
-    /** Sends a request that is inside its quota if it finds a slot and an endpoint, else rejects it. */
+    /** Sends a request within its quota if a slot and an endpoint are available, else rejects it. */
     private void dispatch(double now, OpenRequest request) {
         if (!request.arrival().retry() && !request.customer().expectsRetries(now)) {
-            // Retries are not counted: the split would reserve slots for rejected traffic.
+            // Retries are not counted as demand: the split would reserve slots for rejected traffic.
             parts.slots().demand().arrived(request.tier(), request.weight() * request.units());
         }
         boolean hasSlot = parts.slots().hasFree(request.tier());
@@ -90,8 +90,8 @@
     }
 
     @Override
-    public void responseStarted(double now, long id, int attempt) {
-        parts.requests().close(id);
+    public void responseStarted(double now, long requestId, int attempt) {
+        parts.requests().close(requestId);
     }
 
     @Override
@@ -109,9 +109,9 @@
         request.lease().inFlightCap().report(now);
         parts.feedback().attemptEnded(now, request, attempt, result);
         if (result.answered()) {
-            parts.requests().answered(request);
-            if (result.outcome() == Outcome.OK && settings.settledAfterwards() && result.settledUnits() > 0) {
-                request.lease().balance().add(request.units() - result.settledUnits());
+            parts.requests().markAnswered(request);
+            if (result.outcome() == Outcome.OK && settings.chargesActualUnits() && result.actualUnits() > 0) {
+                request.lease().balance().add(request.units() - result.actualUnits());
             }
         }
         if (request.inFlight() == 0 && !parts.requests().removeDrained(request)) {
@@ -120,13 +120,13 @@
     }
 
     @Override
-    public void requestWithdrawn(double now, long id) {
-        parts.requests().close(id);
+    public void requestWithdrawn(double now, long requestId) {
+        parts.requests().close(requestId);
     }
 
     @Override
-    public void counterAnswered(double now, long name, Outcome outcome, double tookMs, double total) {
-        parts.counter().answered(now, outcome, tookMs);
+    public void counterAnswered(double now, long name, Outcome outcome, double latencyMs, double total) {
+        parts.counter().callEnded(now, outcome, latencyMs);
         Customer customer = customers.get(parts.leases().customersByName().get(name));
         if (customer == null || !customer.lease().counterAnswered(now, name, outcome, total)) {
             return;
@@ -166,15 +166,15 @@
     }
 
     @Override
-    public int tierOf(int requestClass, int plan) {
-        RequestClass type = settings.classes().get(requestClass);
+    public int tierOf(int classIndex, int planIndex) {
+        RequestClass requestClass = settings.classes().get(classIndex);
         return parts.slots()
                 .tiers()
-                .tierOf(PriorityTiers.weight(type, settings.plans().get(plan)));
+                .tierOf(PriorityTiers.weight(requestClass, settings.plans().get(planIndex)));
     }
 
     @Override
     public int[] slotLimits() {
-        return parts.slots().counts().limits(parts.slots().limit().whole());
+        return parts.slots().counts().limits(parts.slots().limit().wholeSlots());
     }
 }
--- a/decision/src/main/java/stonelb/decision/Endpoint.java
+++ b/decision/src/main/java/stonelb/decision/Endpoint.java
@@ -1,4 +1,4 @@
 package stonelb.decision;
 
-/** One line of a server list; {@code upSinceMs} is 0 for long past. */
+/** An entry of an endpoint list; {@code startedAtMs} is 0 if the endpoint started long ago. */
 public record Endpoint(long id, EndpointState state, double startedAtMs, double weight, int cell, int zone) {}
--- a/decision/src/main/java/stonelb/decision/EndpointHealth.java
+++ b/decision/src/main/java/stonelb/decision/EndpointHealth.java
@@ -7,24 +7,24 @@
     static final double MAX_LATENCY_SAMPLES = 50;
     static final double MIN_LATENCY_WEIGHT = 0.1;
     static final double REJECTION_PAUSE_MS = 100;
-    static final double LATENCY_FADING = 0.998; // of the samples, a tick
-    private static final double MIN_WARM_SENDS_PER_MS = 1e-3; // of all gateways
+    static final double LATENCY_DECAY = 0.998; // of the number of samples, per tick
+    private static final double MIN_WARM_SENDS_PER_MS = 1e-3; // by all gateways together
     private static final double MIN_EJECTION_MS = 250;
     private static final double MAX_EJECTION_MS = 4000;
-    private static final double MAX_EJECTION_FACTOR = 4; // times the least, where that is long
+    private static final double MAX_EJECTION_FACTOR = 4; // of the minimum backoff, if that is long
 
-    /** Whether its budget allows an attempt. Saved budget lapses: many gateways would spend it at once. */
+    /** Whether its budget allows an attempt. Unused budget expires: many gateways would spend it at once. */
     boolean admitsAttempt(double now, TrackedEndpoint endpoint) {
         if (endpoint.isWarm(now)) {
             return true;
         }
-        double least = MIN_WARM_SENDS_PER_MS / Math.max(1, settings.gateways());
-        double perMs = Math.max(endpoints.warmSendsPerMs(), least) * endpoint.capacity(now);
-        double maxSaved = Math.min(1, perMs * settings.slowStart().overloadMs());
-        return endpoint.renewBudget(now, perMs, maxSaved) >= 1;
+        double minPerMs = MIN_WARM_SENDS_PER_MS / Math.max(1, settings.gateways());
+        double attemptsPerMs = Math.max(endpoints.warmSendsPerMs(), minPerMs) * endpoint.capacity(now);
+        double maxSaved = Math.min(1, attemptsPerMs * settings.slowStart().overloadMs());
+        return endpoint.refillBudget(now, attemptsPerMs, maxSaved) >= 1;
     }
 
-    void unreachable(double now, TrackedEndpoint endpoint, int classIndex) {
+    void markUnreachable(double now, TrackedEndpoint endpoint, int classIndex) {
         eject(now, endpoint, classIndex);
         endpoint.ejectUntil(endpoint.ejectedUntilMs(classIndex));
         endpoint.unreachableUntil(endpoint.ejectedUntilMs(classIndex));
@@ -36,15 +36,15 @@
      */
     void eject(double now, TrackedEndpoint endpoint, int classIndex) {
         endpoint.countFailure(classIndex);
-        double least = Math.max(MIN_EJECTION_MS, endpoints.sendIntervalMs());
-        double most = Math.max(MAX_EJECTION_MS, MAX_EJECTION_FACTOR * least);
-        double backoffMs = least * Math.pow(2, endpoint.failures(classIndex));
-        endpoint.ejectUntil(classIndex, now + Math.min(most, backoffMs));
+        double minBackoffMs = Math.max(MIN_EJECTION_MS, endpoints.sendIntervalMs());
+        double maxBackoffMs = Math.max(MAX_EJECTION_MS, MAX_EJECTION_FACTOR * minBackoffMs);
+        double backoffMs = minBackoffMs * Math.pow(2, endpoint.failures(classIndex));
+        endpoint.ejectUntil(classIndex, now + Math.min(maxBackoffMs, backoffMs));
     }
 
-    /** Whether an endpoint is ejected for a class, or has an attempt in flight that tries it again. */
+    /** Whether an endpoint is ejected for a class, or is being probed by an attempt in flight. */
     boolean isEjected(double now, TrackedEndpoint endpoint, int classIndex) {
-        boolean onTrial = endpoint.failures(classIndex) > 0 && endpoint.inFlight() > 0;
-        return now < endpoint.ejectedUntilMs(classIndex) || onTrial;
+        boolean probing = endpoint.failures(classIndex) > 0 && endpoint.inFlight() > 0;
+        return now < endpoint.ejectedUntilMs(classIndex) || probing;
     }
 }
--- a/decision/src/main/java/stonelb/decision/EndpointListType.java
+++ b/decision/src/main/java/stonelb/decision/EndpointListType.java
@@ -1,6 +1,6 @@
 package stonelb.decision;
 
-/** How a server list is to be read; a failed one has no entries and changes nothing. */
+/** The kind of an endpoint list update; a failed one has no entries and changes nothing. */
 public enum EndpointListType {
     DELTA,
     SNAPSHOT,
--- a/decision/src/main/java/stonelb/decision/EndpointSelector.java
+++ b/decision/src/main/java/stonelb/decision/EndpointSelector.java
@@ -9,26 +9,26 @@
         AttemptRules rules,
         ServiceTimes times,
         SplittableRandom random) {
-    private static final double RANDOM_SPREAD = 0.05; // gateways select different ones of equal cost
-    private static final double SAME_ENDPOINT_COST = 1e3; // costs are in mean latencies
-    private static final double TOO_COLD_COST = 100;
+    private static final double COST_JITTER = 0.05; // makes gateways select different endpoints
+    private static final double SAME_ENDPOINT_COST = 1e3; // costs are multiples of the mean latency
+    private static final double MISSED_OBJECTIVE_COST = 100;
     private static final double EJECTED_COST = 1e6;
-    private static final double UNRELIABLE_FACTOR = 4; // after an error, for requests that must not run twice
+    private static final double UNRELIABLE_FACTOR = 4; // after an error, for at-most-once requests
     private static final double UNRELIABLE_MS = 20_000;
-    private static final double CONNECT_FACTOR = 1.5;
-    private static final double CONNECTION_KEPT_MS = 20_000;
-    private static final double FLEET_SAMPLES = 8; // weight of the mean over all endpoints
+    private static final double RECONNECT_FACTOR = 1.5;
+    private static final double KEEP_ALIVE_MS = 20_000;
+    private static final double PRIOR_SAMPLES = 8; // weight of the fleet's mean latency ratio, 1
     private static final double WARMING_FACTOR = 0.5;
-    private static final double SELDOM_USED_MS = 1000; // between two sends: its connection may have closed
+    private static final double RARE_SEND_INTERVAL_MS = 1000; // the connection may have closed meanwhile
 
     /** The cheapest endpoint that the rules allow, null if they allow none. */
     TrackedEndpoint select(double now, OpenRequest request) {
         TrackedEndpoint best = null;
-        double least = Double.MAX_VALUE;
+        double lowestCost = Double.MAX_VALUE;
         for (TrackedEndpoint endpoint : endpoints.all()) {
-            double cost = rules.maySend(now, request, endpoint) ? cost(now, request, endpoint) : least;
-            if (cost < least) {
-                least = cost;
+            double cost = rules.maySend(now, request, endpoint) ? cost(now, request, endpoint) : lowestCost;
+            if (cost < lowestCost) {
+                lowestCost = cost;
                 best = endpoint;
             }
         }
@@ -36,9 +36,9 @@
     }
 
     private double cost(double now, OpenRequest request, TrackedEndpoint endpoint) {
-        double cost = loadCost(now, endpoint) * (1 + RANDOM_SPREAD * random.nextDouble());
+        double cost = loadCost(now, endpoint) * (1 + COST_JITTER * random.nextDouble());
         if (now + times.expectedMs(request) / endpoint.capacity(now) > request.objectiveAtMs()) {
-            cost += TOO_COLD_COST;
+            cost += MISSED_OBJECTIVE_COST;
         }
         boolean unreliable = now - endpoint.lastErrorAtMs() < UNRELIABLE_MS;
         if (unreliable && request.idempotency() == Idempotency.AT_MOST_ONCE) {
@@ -53,15 +53,15 @@
         return cost;
     }
 
-    /** Load in mean latencies. An endpoint that is warming up is preferred, since its budget limits it. */
+    /** Load as a multiple of the mean latency. A warming endpoint is preferred, as its budget limits it. */
     private double loadCost(double now, TrackedEndpoint endpoint) {
-        boolean seldomUsed = endpoints.sendIntervalMs() > SELDOM_USED_MS;
-        boolean disconnected = seldomUsed && now - endpoint.connectedAtMs() > CONNECTION_KEPT_MS;
-        return endpoint.latencyRatio().shrunkToOne(FLEET_SAMPLES)
+        boolean rarelyUsed = endpoints.sendIntervalMs() > RARE_SEND_INTERVAL_MS;
+        boolean likelyDisconnected = rarelyUsed && now - endpoint.connectedAtMs() > KEEP_ALIVE_MS;
+        return endpoint.latencyRatio().meanWithPrior(PRIOR_SAMPLES)
                 * (endpoint.inFlight() + 1)
                 * endpoints.meanWeight()
                 / endpoint.weight()
                 * (endpoint.isWarm(now) ? 1 : WARMING_FACTOR)
-                * (disconnected ? CONNECT_FACTOR : 1);
+                * (likelyDisconnected ? RECONNECT_FACTOR : 1);
     }
 }
--- a/decision/src/main/java/stonelb/decision/EndpointState.java
+++ b/decision/src/main/java/stonelb/decision/EndpointState.java
@@ -1,6 +1,6 @@
 package stonelb.decision;
 
-/** What the server list says of a server. */
+/** The state of an endpoint according to the endpoint list. */
 public enum EndpointState {
     READY,
     DRAINING,
--- a/decision/src/main/java/stonelb/decision/EndpointTable.java
+++ b/decision/src/main/java/stonelb/decision/EndpointTable.java
@@ -8,20 +8,20 @@
 import java.util.Set;
 import java.util.function.DoubleSupplier;
 
-/** The endpoints of the latest lists, in the order in which they were first named, and means over them. */
+/** The endpoints of the latest lists, in the order in which they first appeared, and means over them. */
 final class EndpointTable {
     private final SlowStart slowStart;
-    private final int classes;
+    private final int classCount;
     private final DoubleSupplier initialBudget;
     private final Map<Long, TrackedEndpoint> endpoints = new LinkedHashMap<>();
     private double meanWeight = 1;
     private double warmSendsPerMs;
     private double sendIntervalMs;
 
-    /** @param initialBudget gives the attempts that a new endpoint may get at once */
+    /** @param initialBudget supplies the initial budget of attempts of a new endpoint */
     EndpointTable(DecisionSettings settings, DoubleSupplier initialBudget) {
         slowStart = settings.slowStart();
-        classes = settings.classes().size();
+        classCount = settings.classes().size();
         this.initialBudget = initialBudget;
     }
 
@@ -33,7 +33,7 @@
         return (int) all().stream().filter(TrackedEndpoint::isReady).count();
     }
 
-    /** Of the endpoints that take new work and can be reached, in warm endpoints. */
+    /** The capacity of the ready and reachable endpoints, as a number of warm endpoints. */
     double reachableCapacity(double now) {
         return all().stream()
                 .filter(endpoint -> endpoint.isReady() && endpoint.isReachable(now))
@@ -41,28 +41,28 @@
                 .sum();
     }
 
-    /** Of the ready endpoints, 1 if there are none. */
+    /** The mean weight of the ready endpoints, 1 if there are none. */
     double meanWeight() {
         return meanWeight;
     }
 
-    /** Attempts a millisecond of this gateway to a warm endpoint. */
+    /** The attempts per millisecond that this gateway sends to a warm endpoint on average. */
     double warmSendsPerMs() {
         return warmSendsPerMs;
     }
 
-    /** The time between two attempts of this gateway to a warm endpoint, 0 while unknown. */
+    /** The mean time between two attempts of this gateway at a warm endpoint, 0 while unknown. */
     double sendIntervalMs() {
         return sendIntervalMs;
     }
 
-    /** Takes in a list; one that is complete removes the endpoints that it does not name. */
+    /** Applies a list; a complete list removes the endpoints that it does not contain. */
     void update(double now, EndpointListType type, List<Endpoint> list) {
-        Set<Long> named = new HashSet<>();
+        Set<Long> listedIds = new HashSet<>();
         for (Endpoint entry : list) {
-            named.add(entry.id());
+            listedIds.add(entry.id());
             TrackedEndpoint endpoint =
-                    endpoints.computeIfAbsent(entry.id(), id -> new TrackedEndpoint(id, slowStart, classes));
+                    endpoints.computeIfAbsent(entry.id(), id -> new TrackedEndpoint(id, slowStart, classCount));
             if (endpoint.isRestartedBy(entry)) {
                 endpoint.restart(now, entry.startedAtMs(), initialBudget.getAsDouble());
             }
@@ -70,7 +70,7 @@
         }
         double readyWeight = 0;
         for (TrackedEndpoint endpoint : all()) {
-            if (type != EndpointListType.DELTA && !named.contains(endpoint.id())) {
+            if (type != EndpointListType.DELTA && !listedIds.contains(endpoint.id())) {
                 endpoint.markRemoved();
             }
             readyWeight += endpoint.isReady() ? endpoint.weight() : 0;
@@ -78,19 +78,19 @@
         meanWeight = readyWeight > 0 ? readyWeight / readyCount() : 1;
     }
 
-    /** Fades what was measured by the time of one tick, and renews the means. */
+    /** Decays the measurements by one tick and recomputes the means. */
     void tick(double now, double tickMs) {
-        all().removeIf(TrackedEndpoint::isGone);
+        all().removeIf(TrackedEndpoint::isRemovedAndIdle);
         double sends = 0;
-        double warm = 0;
+        double warmEndpoints = 0;
         for (TrackedEndpoint endpoint : all()) {
             endpoint.tick(tickMs);
             if (endpoint.isReady() && endpoint.isWarm(now)) {
                 sends += endpoint.sendsPerMs();
-                warm++;
+                warmEndpoints++;
             }
         }
-        warmSendsPerMs = warm > 0 ? sends / warm : 0;
-        sendIntervalMs = sends > 0 ? Math.min(EndpointHealth.MAX_SEND_INTERVAL_MS, warm / sends) : 0;
+        warmSendsPerMs = warmEndpoints > 0 ? sends / warmEndpoints : 0;
+        sendIntervalMs = sends > 0 ? Math.min(EndpointHealth.MAX_SEND_INTERVAL_MS, warmEndpoints / sends) : 0;
     }
 }
--- a/decision/src/main/java/stonelb/decision/EngineComponents.java
+++ b/decision/src/main/java/stonelb/decision/EngineComponents.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.SplittableRandom;
 
-/** The parts of one engine, connected to each other. */
+/** The components of one engine, wired together. */
 record EngineComponents(
         OpenRequests requests,
         SlotAllocator slots,
@@ -17,7 +17,7 @@
         AttemptTimeouts timeouts,
         LeaseContext leases) {
 
-    /** Parts that draw from one sequence of random numbers, which the seed determines. */
+    /** Creates the components, which share one sequence of random numbers that the seed determines. */
     static EngineComponents create(DecisionSettings settings, long seed, DecisionActions actions) {
         SplittableRandom random = new SplittableRandom(seed);
         OpenRequests requests = new OpenRequests();
@@ -26,7 +26,7 @@
         EndpointTable endpoints = new EndpointTable(settings, random::nextDouble);
         EndpointHealth health = new EndpointHealth(settings, endpoints);
         ServiceTimes times = new ServiceTimes(
-                settings, LatencyRules.INITIAL_TIME, LatencyRules.TIME_DECAY, LatencyRules.CALM_TIME_GROWTH);
+                settings, LatencyRules.INITIAL_UNIT_TIME, LatencyRules.TIME_DECAY, LatencyRules.BASELINE_TIME_GROWTH);
         LatencyRules latency = new LatencyRules(times, random);
         AttemptRules rules = new AttemptRules(settings, requests, health);
         EndpointSelector selector = new EndpointSelector(endpoints, health, rules, times, random);
--- a/decision/src/main/java/stonelb/decision/ErlangLoss.java
+++ b/decision/src/main/java/stonelb/decision/ErlangLoss.java
@@ -4,7 +4,7 @@
 final class ErlangLoss {
     private ErlangLoss() {}
 
-    /** The loss of groups of 0 to {@code servers} servers that are offered this load. */
+    /** The loss of groups of 0 to {@code servers} servers under the offered load. */
     static double[] table(int servers, double offeredErlangs) {
         double[] loss = new double[servers + 1];
         loss[0] = 1;
@@ -14,7 +14,7 @@
         return loss;
     }
 
-    /** The loss of one group of {@code servers} servers that is offered this load. */
+    /** The loss of one group of {@code servers} servers under the offered load. */
     static double of(int servers, double offeredErlangs) {
         double loss = 1;
         for (int count = 1; count <= servers; count++) {
--- a/decision/src/main/java/stonelb/decision/ExponentialAverage.java
+++ b/decision/src/main/java/stonelb/decision/ExponentialAverage.java
@@ -1,6 +1,6 @@
 package stonelb.decision;
 
-/** An exponentially weighted mean that begins with its first sample. */
+/** An exponentially weighted mean that starts at its first sample. */
 final class ExponentialAverage {
     private final double weight;
     private double value;
--- a/decision/src/main/java/stonelb/decision/Idempotency.java
+++ b/decision/src/main/java/stonelb/decision/Idempotency.java
@@ -1,6 +1,6 @@
 package stonelb.decision;
 
-/** Whether a request may run more than once. */
+/** Whether a request may be executed more than once. */
 public enum Idempotency {
     IDEMPOTENT,
     IDEMPOTENCY_KEY,
--- a/decision/src/main/java/stonelb/decision/InFlightCap.java
+++ b/decision/src/main/java/stonelb/decision/InFlightCap.java
@@ -1,29 +1,29 @@
 package stonelb.decision;
 
-/** One customer's cap on attempts in flight, of which the gateways inform each other through the counter. */
+/** One customer's cap on attempts in flight. Gateways share their numbers through the counter. */
 record InFlightCap(QuotaTerms terms, CounterHealth counter, CounterAccount account, PeakReport peak) {
-    private static final double REPORT_INTERVAL_MS = 250; // a rise is reported at once
+    private static final double REPORT_INTERVAL_MS = 250; // a higher peak is reported at once
 
     boolean isReached() {
-        int most = terms.plan().maxInFlight();
-        return most > 0 && peak.inFlight() >= limit(most, most / terms.spread());
+        int cap = terms.plan().maxInFlight();
+        return cap > 0 && peak.inFlight() >= limit(cap, cap / terms.spread());
     }
 
-    private int limit(int most, int part) {
+    private int limit(int cap, int share) {
         if (terms.plan().hasRate()) {
-            return Math.max(1, part);
+            return Math.max(1, share);
         }
-        return terms.reportsInFlight() ? Math.max(part, most - peak.inFlightElsewhere()) : most;
+        return terms.reportsInFlight() ? Math.max(share, cap - peak.inFlightElsewhere()) : cap;
     }
 
     void report(double now) {
-        boolean lower = peak.isLower(now);
+        boolean lowerDue = peak.isLowerReportDue(now);
         boolean mayReport = terms.reportsInFlight() && !account.isQuerying() && counter.mayCall(now);
-        if (mayReport && (lower || peak.isHigher())) {
+        if (mayReport && (lowerDue || peak.isHigherReportDue())) {
             if (account.moveToWindow(now, terms.windowMs())) {
-                peak.forgetReported();
+                peak.resetReported();
             }
-            account.query(peak.next(lower, now + REPORT_INTERVAL_MS));
+            account.query(peak.startReport(lowerDue, now + REPORT_INTERVAL_MS));
         }
     }
 }
--- a/decision/src/main/java/stonelb/decision/LeaseBalance.java
+++ b/decision/src/main/java/stonelb/decision/LeaseBalance.java
@@ -1,8 +1,8 @@
 package stonelb.decision;
 
-/** The units that a customer's lease holds, and how the customer uses them. */
+/** The unspent units of a customer's lease, and the customer's smoothed usage. */
 final class LeaseBalance {
-    private double held;
+    private double unspent;
     private double usableAtMs;
     private double lastBlock;
     private double unitsPerMs;
@@ -14,31 +14,31 @@
         refreshedAtMs = now;
     }
 
-    /** Units leased and not spent; below 0 what was sent on credit. */
-    double held() {
-        return held;
+    /** Units leased but not spent; negative if requests were admitted before their units were leased. */
+    double unspent() {
+        return unspent;
     }
 
     void add(double units) {
-        held += units;
+        unspent += units;
     }
 
-    /** Gives up what is held; a debt stays. */
-    void lapse() {
-        held = Math.min(held, 0);
+    /** Drops the unspent units; a debt remains. */
+    void dropUnspent() {
+        unspent = Math.min(unspent, 0);
     }
 
-    /** Gives back up to so many units of what is held. */
-    void giveBack(double units) {
-        held = Math.max(0, held - units);
+    /** Removes units that are returned to the quota, at most those unspent. */
+    void returnUnits(double units) {
+        unspent = Math.max(0, unspent - units);
     }
 
-    /** Pays off a debt with up to so many units. */
+    /** Reduces a debt by up to this many units. */
     void payDebt(double units) {
-        held = Math.min(held + units, Math.max(held, 0));
+        unspent = Math.min(unspent + units, Math.max(unspent, 0));
     }
 
-    /** From when on what is held may be spent. */
+    /** The time from which the unspent units may be used. */
     double usableAtMs() {
         return usableAtMs;
     }
@@ -47,7 +47,7 @@
         usableAtMs = timeMs;
     }
 
-    /** The size of the last block, without the debt that it paid. */
+    /** The size of the last block requested, without the debt that it covers. */
     double lastBlock() {
         return lastBlock;
     }
@@ -56,7 +56,7 @@
         lastBlock = units;
     }
 
-    /** Starts to account for the time since the last call; gives that time. */
+    /** Records that the balance is brought up to date; returns the time since this was last done. */
     double refresh(double now) {
         double elapsedMs = now - refreshedAtMs;
         refreshedAtMs = now;
@@ -67,23 +67,23 @@
         return refreshedAtMs;
     }
 
-    /** Smoothed use. */
+    /** The smoothed usage in units per millisecond. */
     double unitsPerMs() {
         return unitsPerMs;
     }
 
-    void fadeUse(double factor) {
+    void decayUsage(double factor) {
         unitsPerMs *= factor;
     }
 
-    /** The smoothed size of a request. */
+    /** The smoothed size of a request in units. */
     double meanUnits() {
         return meanUnits;
     }
 
-    /** Takes the use of a request into the means. */
-    void used(double units, double unitsPerMsShare, double sizeWeight) {
-        unitsPerMs += unitsPerMsShare;
+    /** Adds a request to the smoothed usage and size. */
+    void recordUsage(double units, double unitsPerMsIncrease, double sizeWeight) {
+        unitsPerMs += unitsPerMsIncrease;
         meanUnits += sizeWeight * (units - meanUnits);
     }
 }
--- a/decision/src/main/java/stonelb/decision/LeaseContext.java
+++ b/decision/src/main/java/stonelb/decision/LeaseContext.java
@@ -4,9 +4,9 @@
 import java.util.SplittableRandom;
 
 /**
- * What the leases of all customers share.
+ * The parts that the leases of all customers share.
  *
- * @param customersByName the customers by the counter names in use
+ * @param customersByName the customers by their current counter names
  */
 record LeaseContext(
         DecisionSettings settings,
@@ -16,13 +16,13 @@
         DecisionActions actions,
         Map<Long, Long> customersByName) {
 
-    /** The lease of a customer that is not known yet, by its first request. */
+    /** Creates the lease of a new customer for its first request. */
     QuotaLease open(double now, AdmissionRequest first) {
         int gateways = Math.max(1, settings.gateways());
         int spread = Math.max(1, Math.min(gateways, first.spread()));
         Plan plan = settings.plans().get(first.plan());
         QuotaTerms terms = new QuotaTerms(settings, slots, plan, spread);
-        CounterAccount account = new CounterAccount(this, first.customer(), QuotaTerms.COUNTER_KEEP_MS);
+        CounterAccount account = new CounterAccount(this, first.customer(), QuotaTerms.COUNTER_TTL_MS);
         double units = plan.chargedUnits(first);
         return new QuotaLease(
                 random,
@@ -33,6 +33,6 @@
                 new CeilingBudget(terms, counter, new TokenBucket(terms.initialCeilingUnits())),
                 new InFlightCap(terms, counter, account, new PeakReport()),
                 new LeaseBalance(now, units),
-                new TokenBucket(Math.max(terms.partOfBurst(), units)));
+                new TokenBucket(Math.max(terms.burstShare(), units)));
     }
 }
--- a/decision/src/main/java/stonelb/decision/MovingAverage.java
+++ b/decision/src/main/java/stonelb/decision/MovingAverage.java
@@ -1,6 +1,6 @@
 package stonelb.decision;
 
-/** A mean of all samples at first, which later follows the recent ones: a sample's weight has a lower bound. */
+/** The mean of all samples at first and of recent ones later, since each sample has a minimum weight. */
 final class MovingAverage {
     private final double minWeight;
     private long samples;
--- a/decision/src/main/java/stonelb/decision/OpenRequest.java
+++ b/decision/src/main/java/stonelb/decision/OpenRequest.java
@@ -15,7 +15,7 @@
     private int inFlight;
     private boolean mayHaveExecuted;
 
-    /** A request that arrives now. */
+    /** Creates a request that arrives now. */
     OpenRequest(double now, AdmissionRequest arrival, DecisionSettings settings, PriorityTiers tiers) {
         this.arrival = arrival;
         requestClass = settings.classes().get(arrival.requestClass());
@@ -36,7 +36,7 @@
         return arrival.units();
     }
 
-    /** The number of its class in the settings. */
+    /** The index of its class in the settings. */
     int classIndex() {
         return arrival.requestClass();
     }
@@ -49,7 +49,7 @@
         return requestClass.idempotency();
     }
 
-    /** The class's priority weight times the plan's price. */
+    /** The priority weight of the class times the price of the plan. */
     double weight() {
         return weight;
     }
@@ -58,12 +58,12 @@
         return tier;
     }
 
-    /** When its answer is due. */
+    /** The end of its latency objective, or its deadline if that is earlier. */
     double objectiveAtMs() {
         return objectiveAtMs;
     }
 
-    /** The customer, null for a request that was rejected before its quota was looked at. */
+    /** The customer, null for a request that was rejected before its quota was checked. */
     Customer customer() {
         return customer;
     }
@@ -80,7 +80,7 @@
         return attempts;
     }
 
-    /** The attempt of that number, null if there is none. */
+    /** The attempt at that index, null if there is none. */
     Attempt attempt(int index) {
         return index < attempts.size() ? attempts.get(index) : null;
     }
--- a/decision/src/main/java/stonelb/decision/OpenRequests.java
+++ b/decision/src/main/java/stonelb/decision/OpenRequests.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The requests without a final answer, and those answered that still have attempts in flight. */
+/** The requests without a final answer, and answered ones that still have attempts in flight. */
 final class OpenRequests {
     private final Map<Long, OpenRequest> open = new LinkedHashMap<>();
     private final Map<Long, OpenRequest> draining = new LinkedHashMap<>();
@@ -28,12 +28,12 @@
         return open.containsKey(request.id());
     }
 
-    /** A copy in order of arrival, which may be walked through while requests are closed. */
+    /** A copy in order of arrival, which can be iterated while requests are closed. */
     List<OpenRequest> snapshot() {
         return List.copyOf(open.values());
     }
 
-    /** Owes the request nothing more; attempts in flight are waited for. */
+    /** Closes a request; it is kept until its attempts in flight have ended. */
     void close(long id) {
         OpenRequest request = open.remove(id);
         if (request != null && request.inFlight() > 0) {
@@ -41,13 +41,13 @@
         }
     }
 
-    /** An attempt has brought the answer. */
-    void answered(OpenRequest request) {
+    /** Marks a request as answered by one of its attempts. */
+    void markAnswered(OpenRequest request) {
         open.remove(request.id());
         draining.put(request.id(), request);
     }
 
-    /** Forgets a request whose last attempt has ended, if it is answered; tells whether it was. */
+    /** Removes a request whose last attempt has ended if it was answered; returns whether it was. */
     boolean removeDrained(OpenRequest request) {
         return draining.remove(request.id()) != null;
     }
--- a/decision/src/main/java/stonelb/decision/Outcome.java
+++ b/decision/src/main/java/stonelb/decision/Outcome.java
@@ -11,7 +11,7 @@
     CANCELLED,
     NOT_SENT;
 
-    /** Whether this outcome proves that the attempt never ran. */
+    /** Whether this outcome proves that the attempt was never executed. */
     public boolean provesNotExecuted() {
         return this == REJECTED || this == CONNECT_FAILED || this == NOT_SENT;
     }
--- a/decision/src/main/java/stonelb/decision/PeakReport.java
+++ b/decision/src/main/java/stonelb/decision/PeakReport.java
@@ -1,11 +1,11 @@
 package stonelb.decision;
 
-/** The attempts in flight, their peak since the last report, and what of it is reported. */
+/** The attempts in flight at this gateway, their peak since the last report, and the number reported. */
 final class PeakReport {
     private int inFlight;
     private int peak;
     private double reported;
-    private double nextAtMs;
+    private double nextReportAtMs;
     private int inFlightElsewhere;
 
     int inFlight() {
@@ -24,35 +24,35 @@
         inFlight--;
     }
 
-    /** Whether the peak is over, and the time for a lower report has come. */
-    boolean isLower(double now) {
-        return now >= nextAtMs && peak > inFlight;
+    /** Whether the peak is over and a lower number is due to be reported. */
+    boolean isLowerReportDue(double now) {
+        return now >= nextReportAtMs && peak > inFlight;
     }
 
-    /** Whether the peak is higher than what is reported. */
-    boolean isHigher() {
+    /** Whether the peak is higher than the number reported. */
+    boolean isHigherReportDue() {
         return peak > reported;
     }
 
-    /** Forgets what is reported: the sum of reports begins anew. */
-    void forgetReported() {
+    /** Resets the number reported, as the sum of the gateways' reports restarts at 0. */
+    void resetReported() {
         reported = 0;
     }
 
-    /** Starts a report; gives the amount to add to the sum of reports. */
-    double next(boolean lower, double nextAtMs) {
+    /** Starts a report; returns the amount to add to the sum of the gateways' reports. */
+    double startReport(boolean lower, double nextReportAtMs) {
         peak = lower ? inFlight : peak;
-        this.nextAtMs = nextAtMs;
+        this.nextReportAtMs = nextReportAtMs;
         return peak - reported;
     }
 
-    /** A report of this amount was added, which makes the sum of all gateways' reports so much. */
-    void added(double amount, double sum) {
+    /** Records that this amount was added, and the resulting sum of all gateways' reports. */
+    void reportAdded(double amount, double sum) {
         reported += amount;
         inFlightElsewhere = (int) Math.max(0, Math.round(sum) - reported);
     }
 
-    /** The attempts in flight at other gateways, as far as is known. */
+    /** The number of attempts in flight at other gateways by the last report. */
     int inFlightElsewhere() {
         return inFlightElsewhere;
     }
--- a/decision/src/main/java/stonelb/decision/Plan.java
+++ b/decision/src/main/java/stonelb/decision/Plan.java
@@ -1,8 +1,8 @@
 package stonelb.decision;
 
 /**
- * A plan: rate and burst in units, attempts open at once, the hard ceiling without its slack (each 0
- * where there is none), and what a unit earns or costs inside and beyond the quota.
+ * A customer's plan: rate and burst in units, cap on attempts in flight, and hard ceiling without its slack
+ * (each 0 if there is none), and what a unit earns or costs within and beyond the quota.
  */
 public record Plan(
         double rate,
@@ -14,12 +14,12 @@
         double overQuotaValue,
         double overQuotaCost) {
 
-    /** Whether there is a rate, not only a cap on attempts in flight. */
+    /** Whether the plan has a rate and not only a cap on attempts in flight. */
     boolean hasRate() {
         return rate > 0;
     }
 
-    /** The units that a request takes from the quota; a cap on attempts in flight alone counts requests. */
+    /** The units that a request takes from the quota; without a rate, each request counts as one. */
     double chargedUnits(AdmissionRequest request) {
         return hasRate() ? request.units() : 1;
     }
--- a/decision/src/main/java/stonelb/decision/PriorityTiers.java
+++ b/decision/src/main/java/stonelb/decision/PriorityTiers.java
@@ -2,12 +2,12 @@
 
 import java.util.stream.IntStream;
 
-/** Bands of weight, which is a class's priority weight times a plan's price; the widest gaps separate them. */
+/** Ranges of request weight, the class's priority weight times the plan's price, separated at the widest gaps. */
 final class PriorityTiers {
     /** The lowest weight of each tier above the first, in ascending order. */
-    private final double[] floors;
+    private final double[] thresholds;
 
-    /** Sorts the weights of all classes and plans; those that are not positive count to the lowest tier. */
+    /** Groups the weights of all classes and plans; weights that are not positive belong to the lowest tier. */
     PriorityTiers(DecisionSettings settings, int maxTiers) {
         double[] weights = settings.classes().stream()
                 .flatMapToDouble(type -> settings.plans().stream().mapToDouble(plan -> weight(type, plan)))
@@ -15,9 +15,10 @@
                 .sorted()
                 .distinct()
                 .toArray();
-        floors = IntStream.range(1, weights.length)
+        thresholds = IntStream.range(1, weights.length)
                 .boxed()
-                .sorted((a, b) -> Double.compare(weights[b] / weights[b - 1], weights[a] / weights[a - 1]))
+                .sorted((left, right) ->
+                        Double.compare(weights[right] / weights[right - 1], weights[left] / weights[left - 1]))
                 .limit(maxTiers - 1)
                 .mapToDouble(index -> weights[index])
                 .sorted()
@@ -29,13 +30,13 @@
     }
 
     int count() {
-        return floors.length + 1;
+        return thresholds.length + 1;
     }
 
-    /** The tier of a weight, from 0, the lowest. */
+    /** The tier of a weight; 0 is the lowest. */
     int tierOf(double weight) {
         int tier = 0;
-        while (tier < floors.length && weight >= floors[tier]) {
+        while (tier < thresholds.length && weight >= thresholds[tier]) {
             tier++;
         }
         return tier;
--- a/decision/src/main/java/stonelb/decision/QuotaEstimate.java
+++ b/decision/src/main/java/stonelb/decision/QuotaEstimate.java
@@ -1,6 +1,6 @@
 package stonelb.decision;
 
-/** The units left of a quota when they were last known. */
+/** The last known number of units left of a quota. */
 final class QuotaEstimate {
     private boolean known;
     private double units;
@@ -14,8 +14,8 @@
         overdrawnAtMs = unitsLeft < 0 ? now : overdrawnAtMs;
     }
 
-    /** The units are known no more; the times stay. */
-    void forget() {
+    /** Marks the units as unknown; the times remain. */
+    void invalidate() {
         known = false;
     }
 
@@ -23,21 +23,22 @@
         return known;
     }
 
-    /** The units left, below 0 for a debt. */
+    /** The units left, negative for a debt. */
     double units() {
         return units;
     }
 
+    /** Whether the last update was before this time. */
     boolean isBefore(double timeMs) {
         return updatedAtMs < timeMs;
     }
 
-    /** Time since the units were known. */
+    /** The time since the last update. */
     double ageMs(double now) {
         return now - updatedAtMs;
     }
 
-    /** Time since the quota was known to be in debt. */
+    /** The time since the last update that showed a debt. */
     double overdrawnAgeMs(double now) {
         return now - overdrawnAtMs;
     }
--- a/decision/src/main/java/stonelb/decision/RequestClass.java
+++ b/decision/src/main/java/stonelb/decision/RequestClass.java
@@ -1,6 +1,6 @@
 package stonelb.decision;
 
-/** A class of request; times in milliseconds. */
+/** The settings of a class of requests. */
 public record RequestClass(
         double latencyObjectiveMs,
         Idempotency idempotency,
--- a/decision/src/main/java/stonelb/decision/RequestDispatcher.java
+++ b/decision/src/main/java/stonelb/decision/RequestDispatcher.java
@@ -38,7 +38,7 @@
         }
     }
 
-    /** Sheds a request for want of a slot, an endpoint or time, which may be available soon. */
+    /** Sheds a request that lacks a slot, an endpoint or time, which may be available soon. */
     void rejectOverloaded(OpenRequest request) {
         reject(request, settings.attemptLimits().maxRetryAfterMs() / 2);
     }
--- a/decision/src/main/java/stonelb/decision/ResponseCounts.java
+++ b/decision/src/main/java/stonelb/decision/ResponseCounts.java
@@ -1,25 +1,25 @@
 package stonelb.decision;
 
-/** Responses, those that showed strain, and the most attempts in flight, all since a point in time. */
+/** Counts the responses and the congested ones, and tracks the peak of attempts in flight, since the last reset. */
 final class ResponseCounts {
     private double sinceMs;
     private int peakInFlight;
     private int responses;
-    private int strained;
+    private int congested;
 
-    void restart(double now) {
+    void reset(double now) {
         sinceMs = now;
         peakInFlight = 0;
         responses = 0;
-        strained = 0;
+        congested = 0;
     }
 
-    void responded(boolean isStrained) {
+    void responded(boolean isCongested) {
         responses++;
-        strained += isStrained ? 1 : 0;
+        congested += isCongested ? 1 : 0;
     }
 
-    void sample(int inFlight) {
+    void sampleInFlight(int inFlight) {
         peakInFlight = Math.max(peakInFlight, inFlight);
     }
 
@@ -35,7 +35,7 @@
         return responses;
     }
 
-    int strained() {
-        return strained;
+    int congested() {
+        return congested;
     }
 }
--- a/decision/src/main/java/stonelb/decision/ServiceTimes.java
+++ b/decision/src/main/java/stonelb/decision/ServiceTimes.java
@@ -1,17 +1,17 @@
 package stonelb.decision;
 
-/** The time that requests of each class take. */
+/** The expected service times of the requests of each class. */
 final class ServiceTimes {
     private final UnitTime[] unitTimes;
 
     /**
-     * @param initialTime what a unit takes at first, of the class's latency objective
-     * @param decay of earlier attempts with each attempt, as a factor
-     * @param calmGrowth of the time without a jam with each attempt, as a factor
+     * @param initialTime the initial time of a unit, as a fraction of the class's latency objective
+     * @param decay the factor by which each attempt reduces the weight of earlier ones
+     * @param baselineGrowth the factor by which each attempt may raise the time without congestion
      */
-    ServiceTimes(DecisionSettings settings, double initialTime, double decay, double calmGrowth) {
+    ServiceTimes(DecisionSettings settings, double initialTime, double decay, double baselineGrowth) {
         unitTimes = settings.classes().stream()
-                .map(type -> new UnitTime(initialTime * type.latencyObjectiveMs(), decay, calmGrowth))
+                .map(type -> new UnitTime(initialTime * type.latencyObjectiveMs(), decay, baselineGrowth))
                 .toArray(UnitTime[]::new);
     }
 
@@ -20,18 +20,18 @@
         return unitTimes[request.classIndex()];
     }
 
-    /** By the units: with one mean for all sizes, large requests would look slow, and small ones quick. */
+    /** In proportion to the units: with one mean for all sizes, large requests would look slow and small ones fast. */
     double expectedMs(OpenRequest request) {
         return request.units() * unitTime(request).meanMs();
     }
 
-    /** An attempt has brought the answer. */
-    void answered(OpenRequest request, double tookMs) {
-        unitTime(request).add(tookMs, request.units());
+    /** Records the latency of a successful attempt. */
+    void answered(OpenRequest request, double latencyMs) {
+        unitTime(request).add(latencyMs, request.units());
     }
 
-    /** Time without an answer counts too, or only quick requests would. */
-    void timedOut(OpenRequest request, double tookMs) {
-        unitTime(request).add(tookMs, 0);
+    /** Records an attempt without an answer: its time counts too, or the mean would cover fast responses only. */
+    void timedOut(OpenRequest request, double latencyMs) {
+        unitTime(request).add(latencyMs, 0);
     }
 }
--- a/decision/src/main/java/stonelb/decision/SlotCounts.java
+++ b/decision/src/main/java/stonelb/decision/SlotCounts.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** The attempts in flight by tier, beside the slots reserved for each tier. */
+/** The attempts in flight and the reserved slots of each tier. */
 final class SlotCounts {
     private final int[] reserves;
     private final int[] inFlight;
@@ -27,12 +27,12 @@
         return totalInFlight;
     }
 
-    /** Slots of this tier's reserve without an attempt, below 0 where it uses shared ones. */
+    /** The free slots of the tier's reserve, negative while the tier uses shared slots. */
     int freeReserved(int tier) {
         return reserves[tier] - inFlight[tier];
     }
 
-    /** Shared slots without an attempt, of so many slots in all. */
+    /** The free shared slots, given the total number of slots. */
     int freeShared(int slots) {
         int free = slots;
         for (int tier = 0; tier < reserves.length; tier++) {
@@ -45,7 +45,7 @@
         System.arraycopy(slotsByTier, 0, reserves, 0, reserves.length);
     }
 
-    /** By tier, its reserve and the shared ones of so many slots in all; at least 1. */
+    /** Per tier, its reserve plus all shared slots, given the total number of slots; at least 1. */
     int[] limits(int slots) {
         int shared = slots - Arrays.stream(reserves).sum();
         return Arrays.stream(reserves)
--- a/decision/src/main/java/stonelb/decision/SlotLimit.java
+++ b/decision/src/main/java/stonelb/decision/SlotLimit.java
@@ -1,6 +1,6 @@
 package stonelb.decision;
 
-/** A number of slots that goes with a capacity; in parts of a slot, of which whole ones are used. */
+/** A limit of slots that scales with capacity; it is fractional, and only whole slots are used. */
 final class SlotLimit {
     private double slots;
     private double capacity;
@@ -13,12 +13,12 @@
         this.slots = slots;
     }
 
-    /** The slots to be used, at least 1. */
-    int whole() {
+    /** The usable whole slots, at least 1. */
+    int wholeSlots() {
         return Math.max(1, (int) slots);
     }
 
-    /** Keeps the slots for each part of the capacity the same, now that this much of it is left. */
+    /** Scales the limit in proportion to the capacity; a capacity of 0 changes nothing. */
     void scaleTo(double newCapacity) {
         if (newCapacity > 0) {
             slots *= capacity > 0 ? newCapacity / capacity : 1;
--- a/decision/src/main/java/stonelb/decision/SplitOptimizer.java
+++ b/decision/src/main/java/stonelb/decision/SplitOptimizer.java
@@ -3,8 +3,8 @@
 import java.util.Arrays;
 
 /**
- * The payoff of splits of slots into a reserve for each tier and a shared part, after Chen and Chen. Each reserve is an
- * Erlang loss group; what overflows it is offered to the shared group, and what that loses is rejected.
+ * Finds the best split of slots into a reserve for each tier and a shared part, after Chen and Chen. Each reserve is
+ * an Erlang loss group; its overflow is offered to the shared group, whose overflow is rejected.
  */
 final class SplitOptimizer {
     private final int slots;
@@ -17,7 +17,7 @@
     private int[] best;
     private double bestPayoff;
 
-    /** All arrays are by tier; values and penalties are of one request. */
+    /** All arrays are indexed by tier; values and penalties are per request. */
     SplitOptimizer(int slots, double[] arrivalRates, double serviceRate, double[] values, double[] penalties) {
         this.slots = slots;
         this.arrivalRates = arrivalRates;
@@ -31,8 +31,8 @@
     }
 
     /**
-     * The reserves with the highest payoff of all splits in steps of this size. A split with larger reserves has to
-     * gain more than this part of the payoff over one with smaller reserves.
+     * The reserves with the highest payoff among all splits in steps of this size. A split with larger reserves has to
+     * exceed the payoff of one with smaller reserves by more than this fraction.
      */
     int[] bestReserves(int step, double minRelativeGain) {
         best = new int[candidate.length];
@@ -56,7 +56,7 @@
         candidate[tier] = 0;
     }
 
-    /** The value served less the penalties of what is rejected, in a unit of time. */
+    /** The value of served requests minus the penalties of rejected ones, per unit of time. */
     double payoff(int[] reserves, int shared) {
         double overflow = 0;
         for (int tier = 0; tier < reserves.length; tier++) {
--- a/decision/src/main/java/stonelb/decision/TierDemand.java
+++ b/decision/src/main/java/stonelb/decision/TierDemand.java
@@ -28,7 +28,7 @@
         totalValues[tier] += value;
     }
 
-    /** Takes the arrivals since the last call into the means. */
+    /** Updates the averages with the arrivals since the last call. */
     void endPeriod(double periodMs) {
         for (int tier = 0; tier < arrivals.length; tier++) {
             rates[tier].add(arrivals[tier] / periodMs);
@@ -40,12 +40,12 @@
         }
     }
 
-    /** By tier, arrivals in a millisecond. */
+    /** Per tier, the arrivals per millisecond. */
     double[] arrivalRates() {
         return Arrays.stream(rates).mapToDouble(ExponentialAverage::value).toArray();
     }
 
-    /** By tier, the mean value of an arrival. */
+    /** Per tier, the mean value of an arrival. */
     double[] meanValues() {
         return Arrays.stream(meanValues).mapToDouble(ExponentialAverage::value).toArray();
     }
--- a/decision/src/main/java/stonelb/decision/TokenBucket.java
+++ b/decision/src/main/java/stonelb/decision/TokenBucket.java
@@ -18,18 +18,18 @@
         tokens = Math.min(capacity, tokens + tokensPerSecond * elapsedMs / MS_PER_SECOND);
     }
 
-    /** Takes tokens also where there are too few: the rest is a debt. */
+    /** Takes tokens even if there are too few: the rest becomes a debt. */
     void take(double amount) {
         tokens -= amount;
     }
 
-    /** Takes as many of the tokens as there are. */
+    /** Takes up to this many tokens, as far as there are any. */
     void takeAvailable(double amount) {
         tokens = Math.max(0, tokens - amount);
     }
 
-    /** Drops what exceeds this number of tokens. */
-    void limitTo(double most) {
-        tokens = Math.min(tokens, most);
+    /** Drops the tokens in excess of this number. */
+    void limitTo(double maxTokens) {
+        tokens = Math.min(tokens, maxTokens);
     }
 }
--- a/decision/src/main/java/stonelb/decision/TrackedEndpoint.java
+++ b/decision/src/main/java/stonelb/decision/TrackedEndpoint.java
@@ -2,12 +2,12 @@
 
 import java.util.Arrays;
 
-/** What is known of one endpoint: its entry in the list, and what this gateway has measured. */
+/** The state of one endpoint: its list entry and the measurements of this gateway. */
 final class TrackedEndpoint {
     private final long id;
     private final SlowStart slowStart;
-    private final FadingMean latencyRatio =
-            new FadingMean(1, EndpointHealth.MAX_LATENCY_SAMPLES, EndpointHealth.MIN_LATENCY_WEIGHT);
+    private final DecayingMean latencyRatio =
+            new DecayingMean(1, EndpointHealth.MAX_LATENCY_SAMPLES, EndpointHealth.MIN_LATENCY_WEIGHT);
     private final int[] failures;
     private final double[] ejectedUntilMs;
     private final double[] respondedAtMs;
@@ -25,12 +25,12 @@
     private double unreachableUntilMs;
     private double lastErrorAtMs = Double.NEGATIVE_INFINITY;
 
-    TrackedEndpoint(long id, SlowStart slowStart, int classes) {
+    TrackedEndpoint(long id, SlowStart slowStart, int classCount) {
         this.id = id;
         this.slowStart = slowStart;
-        failures = new int[classes];
-        ejectedUntilMs = new double[classes];
-        respondedAtMs = new double[classes];
+        failures = new int[classCount];
+        ejectedUntilMs = new double[classCount];
+        respondedAtMs = new double[classCount];
     }
 
     long id() {
@@ -53,8 +53,8 @@
         return state == EndpointState.READY;
     }
 
-    /** Whether it is removed, and no attempt is waited for. */
-    boolean isGone() {
+    /** Whether it is removed and has no attempt in flight. */
+    boolean isRemovedAndIdle() {
         return state == EndpointState.REMOVED && inFlight == 0;
     }
 
@@ -62,12 +62,12 @@
         state = EndpointState.REMOVED;
     }
 
-    /** Whether a list entry tells of a start that was not known. */
+    /** Whether a list entry shows a start that is not known yet. */
     boolean isRestartedBy(Endpoint entry) {
         return entry.startedAtMs() > startedAtMs && entry.state() == EndpointState.READY;
     }
 
-    /** Forgets what was measured before a restart, and begins to warm up with this budget of attempts. */
+    /** Clears the measurements from before a restart and starts warming up with this budget of attempts. */
     void restart(double now, double startedAtMs, double initialBudget) {
         this.startedAtMs = startedAtMs;
         warmAtMs = startedAtMs + slowStart.rampMs();
@@ -100,47 +100,47 @@
         inFlight--;
     }
 
-    /** Smoothed attempts a millisecond of this gateway. */
+    /** The smoothed rate of this gateway's attempts, per millisecond. */
     double sendsPerMs() {
         return sendsPerMs;
     }
 
-    /** Fades what was measured by the time of one tick. */
+    /** Decays the measurements by one tick. */
     void tick(double tickMs) {
         sendsPerMs *= 1 - tickMs / EndpointHealth.SEND_RATE_WINDOW_MS;
-        latencyRatio.fade(EndpointHealth.LATENCY_FADING);
+        latencyRatio.decay(EndpointHealth.LATENCY_DECAY);
     }
 
     boolean isWarm(double now) {
         return now >= warmAtMs;
     }
 
-    /** The share of its capacity that it is sure to have, which grows to 1 while it is warming up. */
+    /** The share of its full capacity that can be relied on, which grows to 1 during the warm-up. */
     double capacity(double now) {
         if (isWarm(now)) {
             return 1;
         }
-        double warmed = Math.max(0, 1 - (warmAtMs - now) / Math.max(1, slowStart.rampMs()));
-        return slowStart.initialCapacity() + (1 - slowStart.initialCapacity()) * warmed;
+        double progress = Math.max(0, 1 - (warmAtMs - now) / Math.max(1, slowStart.rampMs()));
+        return slowStart.initialCapacity() + (1 - slowStart.initialCapacity()) * progress;
     }
 
     /**
-     * Adds to its budget of attempts what has come up since the last call, while it is warming up. Beyond the next
-     * attempt it saves no more than {@code maxSaved}; whole attempts beyond that lapse.
+     * Refills the budget of attempts for the time since the last call, while the endpoint is warming up. Besides the
+     * next attempt, at most {@code maxSaved} is saved; whole attempts beyond that expire.
      */
-    double renewBudget(double now, double attemptsPerMs, double maxSaved) {
+    double refillBudget(double now, double attemptsPerMs, double maxSaved) {
         budget += attemptsPerMs * (now - budgetAtMs);
         budget -= Math.max(0, Math.ceil(budget - 1 - maxSaved));
         budgetAtMs = now;
         return budget;
     }
 
-    /** Its latencies over the expected ones, smoothed. */
-    FadingMean latencyRatio() {
+    /** The smoothed ratio of its latencies to the expected ones. */
+    DecayingMean latencyRatio() {
         return latencyRatio;
     }
 
-    void succeeded(double now, int classIndex, double latencyToExpected) {
+    void recordSuccess(double now, int classIndex, double latencyToExpected) {
         latencyRatio.add(latencyToExpected);
         failures[classIndex] = 0;
         connectedAtMs = now;
@@ -151,7 +151,7 @@
         return respondedAtMs[classIndex];
     }
 
-    /** When it last proved to be connected. */
+    /** The time of its last successful response, which proves a connection. */
     double connectedAtMs() {
         return connectedAtMs;
     }
@@ -160,11 +160,11 @@
         return lastErrorAtMs;
     }
 
-    void failed(double now) {
+    void recordError(double now) {
         lastErrorAtMs = now;
     }
 
-    /** Failures of a class in a row. */
+    /** The consecutive failures of a class. */
     int failures(int classIndex) {
         return failures[classIndex];
     }
@@ -181,7 +181,7 @@
         ejectedUntilMs[classIndex] = timeMs;
     }
 
-    /** Ejects it for all classes. */
+    /** Ejects the endpoint for all classes. */
     void ejectUntil(double timeMs) {
         Arrays.fill(ejectedUntilMs, timeMs);
     }
--- a/decision/src/main/java/stonelb/decision/UnitTime.java
+++ b/decision/src/main/java/stonelb/decision/UnitTime.java
@@ -1,35 +1,35 @@
 package stonelb.decision;
 
-/** The time that one unit of work takes in a class: time spent over units answered, the earlier ones fading. */
+/** The time that one unit of work takes in a class: time spent per unit answered, with exponential decay. */
 final class UnitTime {
-    private final double calmGrowth;
-    private final DecayingRatio spentOverAnswered;
-    private double calmMs;
+    private final double maxUncongestedGrowth;
+    private final DecayingRatio msPerUnit;
+    private double uncongestedMs;
 
-    /** @param calmGrowth how much the time without a jam may grow with each attempt, as a factor */
-    UnitTime(double initialMs, double decay, double calmGrowth) {
-        this.calmGrowth = calmGrowth;
-        spentOverAnswered = new DecayingRatio(decay, initialMs, 1);
-        calmMs = initialMs;
+    /** @param maxUncongestedGrowth the factor by which the time without congestion may grow with each attempt */
+    UnitTime(double initialMs, double decay, double maxUncongestedGrowth) {
+        this.maxUncongestedGrowth = maxUncongestedGrowth;
+        msPerUnit = new DecayingRatio(decay, initialMs, 1);
+        uncongestedMs = initialMs;
     }
 
-    /** An attempt without an answer adds no units. */
+    /** Adds an attempt; one without an answer adds time but no units. */
     void add(double spentMs, double answeredUnits) {
-        spentOverAnswered.add(spentMs, answeredUnits);
-        calmMs = Math.min(calmMs * calmGrowth, meanMs());
+        msPerUnit.add(spentMs, answeredUnits);
+        uncongestedMs = Math.min(uncongestedMs * maxUncongestedGrowth, meanMs());
     }
 
     double meanMs() {
-        return spentOverAnswered.value();
+        return msPerUnit.value();
     }
 
-    /** The time while there was no jam: it falls at once and grows slowly. */
-    double calmMs() {
-        return calmMs;
+    /** The mean without congestion: it follows a lower mean at once and grows slowly. */
+    double uncongestedMs() {
+        return uncongestedMs;
     }
 
-    /** Units answered that the mean rests on. */
-    double knownUnits() {
-        return spentOverAnswered.denominator();
+    /** The decayed number of units answered that the mean is based on. */
+    double answeredUnits() {
+        return msPerUnit.denominator();
     }
 }
--- a/decision/src/main/java/stonelb/decision/simulator/SettingsParser.java
+++ b/decision/src/main/java/stonelb/decision/simulator/SettingsParser.java
@@ -17,14 +17,14 @@
 import stonelb.decision.RequestClass;
 import stonelb.decision.SlowStart;
 
-/** The start-up settings as the wire states them. Keys that the module does not need are passed over. */
+/** Parses the settings of an engine from JSON. Unknown keys are ignored. */
 public record SettingsParser(DecisionSettings settings) {
 
-    static SettingsParser parse(byte[] json) throws SimulatorFrames.Malformed {
+    static SettingsParser parse(byte[] json) throws SimulatorFrames.MalformedFrameException {
         try {
             JsonObject root = new Gson().fromJson(new String(json, StandardCharsets.UTF_8), JsonObject.class);
             if (root == null) {
-                throw new SimulatorFrames.Malformed("the settings are empty");
+                throw new SimulatorFrames.MalformedFrameException("the settings are empty");
             }
             return new SettingsParser(settings(root));
         } catch (JsonParseException
@@ -32,15 +32,15 @@
                 | IllegalStateException
                 | UnsupportedOperationException
                 | NumberFormatException e) {
-            throw new SimulatorFrames.Malformed("the settings are not the JSON expected: " + oneLine(e));
+            throw new SimulatorFrames.MalformedFrameException("the settings are not the JSON expected: " + oneLine(e));
         }
     }
 
-    /** The settings as a gateway on sockets finds them in its configuration. */
+    /** Reads the settings from the configuration of a gateway. */
     public static DecisionSettings read(JsonObject root) {
         try {
             return settings(root);
-        } catch (SimulatorFrames.Malformed
+        } catch (SimulatorFrames.MalformedFrameException
                 | ClassCastException
                 | IllegalStateException
                 | UnsupportedOperationException
@@ -49,7 +49,7 @@
         }
     }
 
-    private static DecisionSettings settings(JsonObject root) throws SimulatorFrames.Malformed {
+    private static DecisionSettings settings(JsonObject root) throws SimulatorFrames.MalformedFrameException {
         List<RequestClass> classes = new ArrayList<>();
         for (JsonElement entry : array(root, "categories")) {
             classes.add(requestClass(entry.getAsJsonObject()));
@@ -100,7 +100,7 @@
         return new SlowStart(number(rules, "coldFrom"), number(rules, "rampTimeMs"), number(rules, "fallMs"));
     }
 
-    private static RequestClass requestClass(JsonObject entry) throws SimulatorFrames.Malformed {
+    private static RequestClass requestClass(JsonObject entry) throws SimulatorFrames.MalformedFrameException {
         String effect = text(entry, "effect");
         String group = text(entry, "group");
         return new RequestClass(
@@ -109,13 +109,17 @@
                     case "idempotent" -> Idempotency.IDEMPOTENT;
                     case "deduplicated" -> Idempotency.IDEMPOTENCY_KEY;
                     case "at_most_once" -> Idempotency.AT_MOST_ONCE;
-                    default -> throw new SimulatorFrames.Malformed("unknown effect '" + effect + "' in the settings");
+                    default ->
+                        throw new SimulatorFrames.MalformedFrameException(
+                                "unknown effect '" + effect + "' in the settings");
                 },
                 switch (group) {
                     case "all", "" -> DeduplicationScope.ALL;
                     case "zone" -> DeduplicationScope.ZONE;
                     case "cell" -> DeduplicationScope.CELL;
-                    default -> throw new SimulatorFrames.Malformed("unknown group '" + group + "' in the settings");
+                    default ->
+                        throw new SimulatorFrames.MalformedFrameException(
+                                "unknown group '" + group + "' in the settings");
                 },
                 number(entry, "windowMs"),
                 number(entry, "worth"));
--- a/decision/src/main/java/stonelb/decision/simulator/SimulatorMain.java
+++ b/decision/src/main/java/stonelb/decision/simulator/SimulatorMain.java
@@ -4,7 +4,7 @@
 import java.io.BufferedOutputStream;
 import java.io.IOException;
 
-/** Runs the decision module on the simulator's wire, over standard input and output. */
+/** Runs the decision module on the simulator's protocol, over standard input and output. */
 public final class SimulatorMain {
 
     /** Serves until the input ends; exit code 1 after malformed input, 2 after wrong arguments. */
@@ -16,7 +16,7 @@
         try {
             new SimulatorSession()
                     .serve(new BufferedInputStream(System.in, 1 << 16), new BufferedOutputStream(System.out, 1 << 16));
-        } catch (IOException | SimulatorFrames.Malformed e) {
+        } catch (IOException | SimulatorFrames.MalformedFrameException e) {
             System.err.println("stonelb: " + e.getMessage());
             System.exit(1);
         }
--- a/decision/src/main/java/stonelb/decision/simulator/SimulatorSession.java
+++ b/decision/src/main/java/stonelb/decision/simulator/SimulatorSession.java
@@ -19,7 +19,7 @@
 import stonelb.decision.EndpointListType;
 import stonelb.decision.Outcome;
 
-/** Answers batches of events with replies, for many instances told apart by number. */
+/** Answers batches of events for several engines, each identified by an instance number. */
 final class SimulatorSession {
     private static final int HEADER_BYTES = 12;
     private static final long MAX_FRAME = 1L << 29;
@@ -28,84 +28,88 @@
     private final SimulatorFrames.Writer reply = new SimulatorFrames.Writer();
 
     /** Serves until the input ends between two frames. */
-    void serve(InputStream input, OutputStream output) throws IOException, SimulatorFrames.Malformed {
+    void serve(InputStream input, OutputStream output) throws IOException, SimulatorFrames.MalformedFrameException {
         DataInputStream in = new DataInputStream(input);
-        for (int head = in.read(); head >= 0; head = in.read()) {
+        for (int firstByte = in.read(); firstByte >= 0; firstByte = in.read()) {
             ByteBuffer frame;
             try {
-                long length = head
+                long length = firstByte
                         | in.readUnsignedByte() << 8
                         | in.readUnsignedByte() << 16
                         | (long) in.readUnsignedByte() << 24;
                 if (length < HEADER_BYTES || length > MAX_FRAME) {
-                    throw new SimulatorFrames.Malformed("a frame of " + length + " bytes is out of bounds");
+                    throw new SimulatorFrames.MalformedFrameException(
+                            "a frame of " + length + " bytes is out of bounds");
                 }
                 byte[] bytes = in.readNBytes((int) length);
                 if (bytes.length < length) {
                     throw new EOFException();
                 }
-                frame = answer(bytes);
+                frame = handleBatch(bytes);
             } catch (EOFException e) {
-                throw new SimulatorFrames.Malformed("the input ends inside a frame");
+                throw new SimulatorFrames.MalformedFrameException("the input ends inside a frame");
             }
             output.write(frame.array(), frame.arrayOffset(), frame.limit());
             output.flush();
         }
     }
 
-    /** Plays one batch, given without its length, and gives the whole reply frame. */
-    ByteBuffer answer(byte[] batch) throws SimulatorFrames.Malformed {
+    /** Handles one batch, without its length prefix, and returns the complete reply frame. */
+    ByteBuffer handleBatch(byte[] batch) throws SimulatorFrames.MalformedFrameException {
         reply.clear();
         SimulatorFrames.Reader in = new SimulatorFrames.Reader(batch);
         double now = in.f64();
         long records = in.u32();
         for (long i = 0; i < records; i++) {
-            event(in, now);
+            handleEvent(in, now);
         }
         if (!in.atEnd()) {
-            throw new SimulatorFrames.Malformed("bytes are left after the last record, from byte " + in.position());
+            throw new SimulatorFrames.MalformedFrameException(
+                    "bytes are left after the last record, from byte " + in.position());
         }
         return reply.frame();
     }
 
-    private void event(SimulatorFrames.Reader in, double now) throws SimulatorFrames.Malformed {
+    private void handleEvent(SimulatorFrames.Reader in, double now) throws SimulatorFrames.MalformedFrameException {
         int code = in.u16();
         int instance = in.u16();
         Host host = hosts.get(instance);
         switch (code) {
-            case SimulatorFrames.UP -> start(instance, in, now);
-            case SimulatorFrames.DESTROY -> hosts.remove(instance);
-            case SimulatorFrames.SUBMIT -> submit(host, in, now);
-            case SimulatorFrames.REPORT_BACK -> {
-                AttemptResult result = in.reportBack();
+            case SimulatorFrames.START -> start(instance, in, now);
+            case SimulatorFrames.STOP -> hosts.remove(instance);
+            case SimulatorFrames.REQUEST_RECEIVED -> requestReceived(host, in, now);
+            case SimulatorFrames.ATTEMPT_ENDED -> {
+                AttemptResult result = in.attemptResult();
                 deliver(host, () -> host.engine.attemptEnded(now, result));
             }
-            case SimulatorFrames.FIRST -> responseStarted(host, in, now);
-            case SimulatorFrames.WITHDRAWN -> {
+            case SimulatorFrames.RESPONSE_STARTED -> responseStarted(host, in, now);
+            case SimulatorFrames.REQUEST_WITHDRAWN -> {
                 long id = in.u64();
                 deliver(host, () -> host.engine.requestWithdrawn(now, id));
             }
-            case SimulatorFrames.TICK_DUE -> {
+            case SimulatorFrames.TIMER_FIRED -> {
                 long token = in.u64();
                 deliver(host, () -> host.engine.timerFired(now, token));
             }
-            case SimulatorFrames.MEMBERSHIP -> endpointsChanged(host, in, now);
-            case SimulatorFrames.HEALTH_RESULT -> skipHealthCheckResult(in);
-            case SimulatorFrames.DATAGRAM -> skipPeerMessage(in);
-            case SimulatorFrames.SUM -> counterAnswered(host, in, now);
-            default -> throw new SimulatorFrames.Malformed("unknown event code " + code);
+            case SimulatorFrames.ENDPOINTS_CHANGED -> endpointsChanged(host, in, now);
+            case SimulatorFrames.HEALTH_CHECK_RESULT -> skipHealthCheckResult(in);
+            case SimulatorFrames.PEER_MESSAGE -> skipPeerMessage(in);
+            case SimulatorFrames.COUNTER_ANSWERED -> counterAnswered(host, in, now);
+            default -> throw new SimulatorFrames.MalformedFrameException("unknown event code " + code);
         }
     }
 
-    private void start(int instance, SimulatorFrames.Reader in, double now) throws SimulatorFrames.Malformed {
+    private void start(int instance, SimulatorFrames.Reader in, double now)
+            throws SimulatorFrames.MalformedFrameException {
         long seed = in.u64();
         Host host = new Host(instance, SettingsParser.parse(in.bytes(in.u32())).settings());
         hosts.put(instance, host);
         host.run(() -> host.engine = new DefaultDecisionEngine(now, host.settings, seed, host));
     }
 
-    private static void submit(Host host, SimulatorFrames.Reader in, double now) throws SimulatorFrames.Malformed {
-        AdmissionRequest request = in.submit();
+    private static void requestReceived(Host host, SimulatorFrames.Reader in, double now)
+            throws SimulatorFrames.MalformedFrameException {
+        AdmissionRequest request = in.admissionRequest();
         if (host == null) {
             return;
         }
@@ -114,31 +118,31 @@
         boolean knownPlan =
                 request.plan() >= 0 && request.plan() < settings.plans().size();
         if (!knownClass || !knownPlan) {
-            throw new SimulatorFrames.Malformed(
+            throw new SimulatorFrames.MalformedFrameException(
                     "request " + request.id() + " names a class or plan not in the settings");
         }
         host.run(() -> host.engine.requestReceived(now, request));
     }
 
     private static void responseStarted(Host host, SimulatorFrames.Reader in, double now)
-            throws SimulatorFrames.Malformed {
+            throws SimulatorFrames.MalformedFrameException {
         long id = in.u64();
         int attempt = in.u16();
-        in.server();
+        in.endpointId();
         in.f64();
         deliver(host, () -> host.engine.responseStarted(now, id, attempt));
     }
 
     private static void endpointsChanged(Host host, SimulatorFrames.Reader in, double now)
-            throws SimulatorFrames.Malformed {
-        EndpointListType type = in.listMode();
+            throws SimulatorFrames.MalformedFrameException {
+        EndpointListType type = in.listType();
         in.u64();
-        List<Endpoint> endpoints = in.servers();
+        List<Endpoint> endpoints = in.endpoints();
         deliver(host, () -> host.engine.endpointsChanged(now, type, endpoints));
     }
 
     private static void counterAnswered(Host host, SimulatorFrames.Reader in, double now)
-            throws SimulatorFrames.Malformed {
+            throws SimulatorFrames.MalformedFrameException {
         Outcome outcome = in.outcome();
         double tookMs = in.f64();
         double total = in.f32();
@@ -146,16 +150,17 @@
         deliver(host, () -> host.engine.counterAnswered(now, name, outcome, tookMs, total));
     }
 
-    /** The engine never sends a health check, so a result is for nobody. */
-    private static void skipHealthCheckResult(SimulatorFrames.Reader in) throws SimulatorFrames.Malformed {
+    /** The engine never sends a health check, so a result is ignored. */
+    private static void skipHealthCheckResult(SimulatorFrames.Reader in)
+            throws SimulatorFrames.MalformedFrameException {
         in.f64();
-        in.server();
+        in.endpointId();
         in.outcome();
         in.skipLoad();
     }
 
-    /** The engine never sends a message to a peer, so none is read. */
-    private static void skipPeerMessage(SimulatorFrames.Reader in) throws SimulatorFrames.Malformed {
+    /** The engine never sends a message to a peer, so a received one is ignored. */
+    private static void skipPeerMessage(SimulatorFrames.Reader in) throws SimulatorFrames.MalformedFrameException {
         in.u16();
         in.bytes(in.u16());
     }
@@ -166,7 +171,7 @@
         }
     }
 
-    /** One instance: its settings, its decisions, and its actions on the wire. */
+    /** One engine with its settings; writes the engine's actions to the reply. */
     private final class Host implements DecisionActions {
         private final int instance;
         private final DecisionSettings settings;
@@ -186,50 +191,51 @@
                 event.run();
             } catch (RuntimeException e) {
                 failed = true;
-                StackTraceElement[] at = e.getStackTrace();
-                reply.record(SimulatorFrames.FATAL, instance).text(e + (at.length > 0 ? " at " + at[0] : ""));
+                StackTraceElement[] stackTrace = e.getStackTrace();
+                reply.record(SimulatorFrames.ENGINE_FAILED, instance)
+                        .text(e + (stackTrace.length > 0 ? " at " + stackTrace[0] : ""));
             }
         }
 
         @Override
-        public void forward(long id, long server, double patienceMs) {
+        public void forward(long requestId, long endpoint, double timeoutMs) {
             reply.record(SimulatorFrames.FORWARD, instance)
-                    .u64(id)
-                    .server(server)
-                    .f64(patienceMs);
+                    .u64(requestId)
+                    .endpointId(endpoint)
+                    .f64(timeoutMs);
         }
 
         @Override
-        public void cancel(long id, int attempt) {
-            reply.record(SimulatorFrames.RETRACT, instance).u64(id).u16(attempt);
+        public void cancel(long requestId, int attempt) {
+            reply.record(SimulatorFrames.CANCEL, instance).u64(requestId).u16(attempt);
         }
 
         @Override
-        public void reject(long id, double retryAfterMs) {
-            reply.record(SimulatorFrames.BUSY, instance).u64(id).f64(retryAfterMs);
+        public void reject(long requestId, double retryAfterMs) {
+            reply.record(SimulatorFrames.REJECT, instance).u64(requestId).f64(retryAfterMs);
         }
 
         @Override
-        public void fail(long id) {
-            reply.record(SimulatorFrames.REPORT_FAILURE, instance).u64(id);
+        public void fail(long requestId) {
+            reply.record(SimulatorFrames.FAIL, instance).u64(requestId);
         }
 
         @Override
-        public void schedule(double afterMs, long token) {
-            reply.record(SimulatorFrames.NOTIFY_ME, instance).f64(afterMs).u64(token);
+        public void schedule(double delayMs, long token) {
+            reply.record(SimulatorFrames.SCHEDULE, instance).f64(delayMs).u64(token);
         }
 
         @Override
-        public void addToCounter(long name, double amount, double keepMs) {
-            reply.record(SimulatorFrames.ENTER, instance)
-                    .f64(keepMs)
+        public void addToCounter(long name, double amount, double retentionMs) {
+            reply.record(SimulatorFrames.ADD_TO_COUNTER, instance)
+                    .f64(retentionMs)
                     .f32(amount)
                     .u64(name);
         }
 
         @Override
         public void watchEndpoints() {
-            reply.record(SimulatorFrames.LISTEN, instance).u8(1);
+            reply.record(SimulatorFrames.WATCH_ENDPOINTS, instance).u8(1);
         }
     }
 }
--- a/decision/src/main/java/stonelb/decision/simulator/package-info.java
+++ b/decision/src/main/java/stonelb/decision/simulator/package-info.java
@@ -1,2 +1,2 @@
-/** The adapter that runs the decisions on the frames of the simulator. */
+/** The adapter between the decision engine and the simulator's frame protocol. */
 package stonelb.decision.simulator;
