--- a/gateway/src/main/java/stonelb/gateway/endpoint/EndpointConnections.java
+++ b/gateway/src/main/java/stonelb/gateway/endpoint/EndpointConnections.java
@@ -16,19 +16,25 @@
 import stonelb.io.EventLoop;
 import stonelb.io.RateLimitedLog;
 
-/** All connections to endpoints: a pool for each endpoint and protocol, within one limit on their number. */
+/**
+ * All connections to endpoints: a pool for each endpoint and protocol, with a common limit on the number of
+ * connections.
+ */
 public final class EndpointConnections implements EndpointConnector, AddressListener, TimerCallback {
     private static final double MAX_SWEEP_INTERVAL_MS = 1000;
     private static final double SWEEPS_PER_IDLE_TIMEOUT = 10;
 
-    /** Connections are closed at this fraction of the time after which an endpoint closes an idle one. */
+    /** Idle connections are closed after this fraction of the endpoints' idle timeout. */
     private static final double IDLE_TIMEOUT_FRACTION = 0.8;
 
-    /** Connections beyond the reuse limit are kept for so long, for idempotent requests. */
+    /** How long idle connections are kept at least: beyond the reuse limit, they still carry idempotent requests. */
     private static final double MIN_IDLE_RETENTION_MS = 2000;
 
-    /** Since the event loop last read all input; less than the 100 ms for which a client's close may go unnoticed. */
-    private static final double LATE_LOOP_MS = 50;
+    /**
+     * Time since the event loop last read all input, beyond which it is lagging; less than the 100 ms within which a
+     * client's close must be noticed.
+     */
+    private static final double LOOP_LAG_THRESHOLD_MS = 50;
 
     private static final int MIN_CONNECTIONS_PER_ENDPOINT = 4;
     private static final OutboundRequest.Protocol[] PROTOCOLS = OutboundRequest.Protocol.values();
@@ -41,7 +47,10 @@
     private final int httpPort;
     private final IdleReuseLimit idleReuseLimit;
     private final Map<Long, KnownEndpoint> endpoints = new HashMap<>();
-    /** Pools whose attempts wait for a connection that the limit did not allow, longest wait first. */
+    /**
+     * Pools with attempts that wait because the limit allowed no new connection, in the order in which they started to
+     * wait.
+     */
     private final Set<EndpointConnectionPool> poolsAwaitingCapacity = new LinkedHashSet<>();
 
     private RequestTable requests;
@@ -51,8 +60,8 @@
     /**
      * Creates the connector without opening anything.
      *
-     * @param connectTimeoutMs how long a connect may take, in milliseconds
-     * @param idleTimeoutMs after how many milliseconds endpoints close an idle connection
+     * @param connectTimeoutMs the connect timeout, in milliseconds
+     * @param idleTimeoutMs the time after which endpoints close an idle connection, in milliseconds
      * @param maxConnections limit on the connections to all endpoints together
      * @param httpPort the endpoints' port for HTTP; 0 where HTTP is not used
      */
@@ -72,15 +81,15 @@
         idleReuseLimit = new IdleReuseLimit(maxIdleMs());
     }
 
-    /** Starts the periodic close of idle connections; {@code table} is told how attempts end. */
-    public void begin(RequestTable table) {
-        requests = table;
+    /** Starts the periodic close of idle connections; {@code requestTable} is notified when attempts end. */
+    public void start(RequestTable requestTable) {
+        requests = requestTable;
         scheduleSweep();
     }
 
     /**
-     * Takes over what discovery reports of an endpoint. Connections to an earlier process are not used again: if its
-     * machine vanished, they were never reset.
+     * Applies an update of an endpoint from discovery. Connections to an earlier process are not reused: if its machine
+     * failed, they were never reset.
      */
     @Override
     public void addressChanged(
@@ -99,7 +108,7 @@
         }
     }
 
-    /** Drains all endpoints but these. */
+    /** Drains all endpoints except these. */
     @Override
     public void retainOnly(Set<Long> endpointIds) {
         endpoints.forEach((id, endpoint) -> {
@@ -116,12 +125,12 @@
     }
 
     /**
-     * Sends the attempt. After the event loop was busy, its client's close may wait unread: the loop reads all input
-     * first, and the attempt is sent only if it is still wanted then.
+     * Sends the attempt. If the event loop is lagging, a close by the client may be still unread: the loop reads all
+     * input first, and the attempt is sent only if the request is still open then.
      */
     @Override
     public void send(Attempt attempt) {
-        if (isLoopLate()) {
+        if (isLoopLagging()) {
             loop.timers().scheduleAfter(0, (now, token) -> sendIfWanted(attempt), 0);
         } else {
             sendNow(attempt);
@@ -136,9 +145,9 @@
         }
     }
 
-    /** Whether the event loop was busy for so long that a client's close may wait unread. */
-    boolean isLoopLate() {
-        return loop.now() - loop.lastReadAt() > LATE_LOOP_MS;
+    /** Whether the event loop was busy for so long that a client's close may be still unread. */
+    boolean isLoopLagging() {
+        return loop.now() - loop.lastReadAt() > LOOP_LAG_THRESHOLD_MS;
     }
 
     private void sendNow(Attempt attempt) {
@@ -156,14 +165,14 @@
     public boolean abandon(Attempt attempt) {
         KnownEndpoint endpoint = endpoints.get(attempt.endpoint());
         EndpointConnectionPool pool = endpoint == null ? null : endpoint.pool(protocolOf(attempt));
-        return pool != null && pool.abandon(attempt); // with no pool yet, it waits for the event loop
+        return pool != null && pool.abandon(attempt); // without a pool, the attempt waits for the next loop iteration
     }
 
     private static OutboundRequest.Protocol protocolOf(Attempt attempt) {
         return ((OutboundRequest) attempt.request()).protocol();
     }
 
-    /** Closes idle connections before the endpoint does: a request sent at that moment would end as a reset. */
+    /** Closes idle connections before the endpoint does: a request sent at that moment would be reset. */
     @Override
     public void onTimer(double now, long token) {
         scheduleSweep();
@@ -185,7 +194,7 @@
         return Math.min(maxIdleMs(), Math.max(MIN_IDLE_RETENTION_MS, idleReuseLimitMs()));
     }
 
-    /** How long a connection may have been idle and still carry a request that is not idempotent. */
+    /** The longest time that a connection may have been idle to carry a request that is not idempotent. */
     double idleReuseLimitMs() {
         return idleReuseLimit.at(loop.now());
     }
@@ -211,8 +220,9 @@
     }
 
     /**
-     * Makes room for one more connection, at the limit by closing the one that has been idle for longest. Without the
-     * limit, connections to hundreds of endpoints would take the file descriptors of discovery and the quota counter.
+     * Makes room for one more connection; at the limit, closes the one that has been idle the longest. Without the
+     * limit, connections to hundreds of endpoints would use up the file descriptors that discovery and the quota
+     * counter need.
      *
      * @return whether one more connection may be opened
      */
@@ -238,7 +248,7 @@
         return oldest != null;
     }
 
-    /** Has the pool called once another connection may be opened. */
+    /** Registers the pool to be called once another connection may be opened. */
     void awaitCapacity(EndpointConnectionPool pool) {
         poolsAwaitingCapacity.add(pool);
     }
@@ -247,12 +257,15 @@
         return poolsAwaitingCapacity.contains(pool);
     }
 
-    /** A connection has been closed or is idle: the pool that has waited longest may open one in its place. */
+    /**
+     * Called when a connection was closed or became idle; lets the pool that has waited longest open one in its
+     * place.
+     */
     void capacityAvailable() {
         while (!poolsAwaitingCapacity.isEmpty()) {
             EndpointConnectionPool pool = poolsAwaitingCapacity.iterator().next();
             poolsAwaitingCapacity.remove(pool);
-            if (pool.useCapacity()) {
+            if (pool.connectWithFreedCapacity()) {
                 return;
             }
         }
--- a/gateway/src/main/java/stonelb/gateway/endpoint/HttpEndpointConnection.java
+++ b/gateway/src/main/java/stonelb/gateway/endpoint/HttpEndpointConnection.java
@@ -22,7 +22,7 @@
 
     @Override
     protected void beforeRequest(OutboundRequest request) {
-        parser.expectBodiless(request.head());
+        parser.expectBodiless(request.isHead());
     }
 
     @Override
@@ -35,7 +35,7 @@
 
     @Override
     protected void onEndOfInput() {
-        HttpMessage message = peerEnded() ? parser.end() : null;
+        HttpMessage message = peerClosedCleanly() ? parser.endOfInput() : null;
         if (message != null) {
             completeWith(message, false);
         }
@@ -44,8 +44,8 @@
     /**
      * Derives the attempt's outcome from the status. 429 or 503 with the header {@code X-Unprocessed: 1} proves that
      * the endpoint rejected the request before executing it, as BUSY does over RESP2. Without that header, 429 and any
-     * status from 500 up are errors after which the request may have been executed. All others are the application's
-     * own response.
+     * status from 500 up are errors after which the request may have been executed. Any other status
+     * is the application's own response.
      */
     private void completeWith(HttpMessage message, boolean reusable) {
         int status = message.status();
--- a/gateway/src/main/java/stonelb/gateway/endpoint/IdleReuseLimit.java
+++ b/gateway/src/main/java/stonelb/gateway/endpoint/IdleReuseLimit.java
@@ -1,14 +1,14 @@
 package stonelb.gateway.endpoint;
 
 /**
- * How long a connection may have been idle and still carry a request that is not idempotent.
+ * The longest time that a connection may have been idle to carry a request that is not idempotent.
  *
  * <p>Endpoints, or middleboxes before them, may drop connections long before the configured idle timeout, and each such
- * connection costs a request that can't be retried. Every stale connection lowers the limit below the time for which it
- * was idle; the limit then doubles every two seconds, up to a fixed maximum.
+ * connection fails a request that can't be retried. Every stale connection lowers the limit below its idle time; the
+ * limit then doubles every two seconds, up to a fixed maximum.
  */
 final class IdleReuseLimit {
-    /** Shorter than the quiet period after a response: at this limit no connection is used again. */
+    /** Shorter than the quiet period after a response: at this limit no connection is reused. */
     private static final double MIN_MS = 5;
 
     private static final double DOUBLING_MS = 2000;
@@ -30,7 +30,7 @@
         return Math.min(maxMs, limitMs * Math.pow(2, doublings));
     }
 
-    /** Lowers the limit, since a connection was stale that had been idle for {@code idleMs}. */
+    /** Lowers the limit after a connection that had been idle for {@code idleMs} turned out to be stale. */
     void staleConnectionFound(double idleMs, double now) {
         limitMs = Math.max(MIN_MS, DECREASE_FACTOR * Math.min(idleMs, at(now)));
         updatedAt = now;
--- a/gateway/src/main/java/stonelb/gateway/endpoint/KnownEndpoint.java
+++ b/gateway/src/main/java/stonelb/gateway/endpoint/KnownEndpoint.java
@@ -19,7 +19,7 @@
         return name;
     }
 
-    /** Where the endpoint speaks RESP2. */
+    /** The endpoint's address for RESP2. */
     InetSocketAddress address() {
         return address;
     }
@@ -28,7 +28,7 @@
         return draining;
     }
 
-    /** When the endpoint's process started, on the event loop's clock; it changes with each restart and only then. */
+    /** When the endpoint's process started, on the event loop's clock; it changes only when the process restarts. */
     double startedAtMs() {
         return startedAtMs;
     }
@@ -46,14 +46,14 @@
         }
     }
 
-    void update(String newName, InetSocketAddress newAddress, boolean nowDraining, double newStartedAtMs) {
+    void update(String newName, InetSocketAddress newAddress, boolean newDraining, double newStartedAtMs) {
         name = newName;
         address = newAddress;
-        draining = nowDraining;
+        draining = newDraining;
         startedAtMs = newStartedAtMs;
     }
 
-    /** Closes the connections that have been idle since before {@code timeMs}. */
+    /** Closes the connections that became idle before {@code timeMs}. */
     void closeIdleBefore(double timeMs) {
         if (respPool != null) {
             respPool.closeIdleBefore(timeMs);
@@ -63,7 +63,7 @@
         }
     }
 
-    /** Whether it is draining and neither connections nor waiting attempts are left. */
+    /** Whether the endpoint is draining and has neither connections nor waiting attempts left. */
     boolean isDrained() {
         return draining && isEmpty(respPool) && isEmpty(httpPool);
     }
--- a/gateway/src/main/java/stonelb/gateway/endpoint/OutboundRequest.java
+++ b/gateway/src/main/java/stonelb/gateway/endpoint/OutboundRequest.java
@@ -5,7 +5,7 @@
 /** A client's request in a form that can be written to an endpoint. */
 public interface OutboundRequest {
 
-    /** The protocol in which an endpoint is addressed. */
+    /** The protocol of a connection to an endpoint. */
     enum Protocol {
         /** RESP2, the platform's protocol. */
         RESP,
@@ -13,11 +13,11 @@
         HTTP
     }
 
-    /** Returns the protocol in which the request is written. */
+    /** Returns the protocol in which the request is sent. */
     Protocol protocol();
 
-    /** Returns whether the HTTP response states a length but has no body, as the response to HEAD does. */
-    default boolean head() {
+    /** Returns whether this is an HTTP HEAD request, whose response may state a length but has no body. */
+    default boolean isHead() {
         return false;
     }
 
@@ -28,5 +28,5 @@
      * @param leftMs how long the gateway will wait for the response, in milliseconds
      * @param authority the endpoint's host and port, as in the HTTP header Host
      */
-    void writeTo(ByteBuf out, long leftMs, String authority);
+    void writeTo(ByteBuf out, long remainingMs, String authority);
 }
--- a/gateway/src/main/java/stonelb/gateway/endpoint/RespEndpointConnection.java
+++ b/gateway/src/main/java/stonelb/gateway/endpoint/RespEndpointConnection.java
@@ -19,21 +19,21 @@
 
     /**
      * A response is an array whose first element is the value. The error BUSY proves that the endpoint rejected the
-     * request before executing it; after any other one the request may have been executed.
+     * request before executing it; after any other error the request may have been executed.
      */
     @Override
     protected void readResponse() throws MalformedInputException {
         Object value = parser.next(in);
-        if (value == RespParser.MORE) {
+        if (value == RespParser.INCOMPLETE) {
             return;
         }
         boolean reusable = in.size() == 0;
         if (value instanceof List<?> list && !list.isEmpty() && list.get(0) instanceof byte[] first) {
             completeAttempt(Outcome.OK, new RespResponse(first), reusable);
-        } else if (value instanceof RespParser.Fault error && isRejection(error.text())) {
+        } else if (value instanceof RespParser.SimpleError error && isRejection(error.text())) {
             completeAttempt(Outcome.REJECTED, null, reusable);
         } else {
-            if (value instanceof RespParser.Fault error && !error.text().startsWith(ERROR_CODE)) {
+            if (value instanceof RespParser.SimpleError error && !error.text().startsWith(ERROR_CODE)) {
                 log.warn("unexpected error response from endpoint", "-" + printable(error.text()));
             }
             completeAttempt(Outcome.ERROR, null, reusable);
--- a/gateway/src/main/java/stonelb/gateway/frontend/ClientConnection.java
+++ b/gateway/src/main/java/stonelb/gateway/frontend/ClientConnection.java
@@ -11,17 +11,17 @@
 /**
  * A connection from a client to a frontend. Responses are written in the order of the requests.
  *
- * <p>What was read as a request is answered, whatever ends the connection but its client: the output is shut down only
- * when reading has stopped, and all responses are written and taken by the socket. What has not been read is left to the
- * socket, so that the close resets the connection and the client sends it again.
+ * <p>Every request that was read is answered unless the client disconnects: the output is shut down only after reading
+ * has stopped and the socket has accepted all responses. Input that was not read stays in the socket, so that closing
+ * resets the connection and the client sends it again.
  */
 public abstract class ClientConnection extends Connection implements ResponseWriter.Output {
     private static final int MAX_INPUT_BYTES = 256 * 1024;
 
-    /** Requests without a response; more are decoded once some have theirs. */
+    /** Maximum number of requests without a response; decoding pauses at this limit. */
     private static final int MAX_PENDING_RESPONSES = 512;
 
-    /** For decoding at a time, before the event loop reads all connections again. */
+    /** Maximum time spent decoding before the event loop reads all connections again. */
     private static final double DECODE_TIME_SLICE_MS = 10;
 
     private final Frontend frontend;
@@ -29,8 +29,8 @@
     private final InputTracker inputTracker;
     private final InputScheduler inputScheduler;
     private final ConnectionLifecycle lifecycle = new ConnectionLifecycle();
-    private double idleSince; // when it was opened or its last response was ready
-    private int reportedBytes; // that the frontend accounts for as buffered here
+    private double idleSince; // when it was opened or its last response became ready
+    private int reportedBytes; // buffered input as last reported to the frontend
 
     protected ClientConnection(Frontend frontend, RateLimitedLog log) {
         super(MAX_INPUT_BYTES, log);
@@ -49,10 +49,10 @@
     /** Whether the parser has consumed part of a message. */
     protected abstract boolean isMidMessage();
 
-    /** Bytes of a partial message that the parser has taken from {@link #in}. */
+    /** Bytes of a partial message that the parser has consumed from {@link #in}. */
     protected abstract int parserBytes();
 
-    /** The response to input that breaks the protocol. */
+    /** The response to input that violates the protocol. */
     protected abstract PendingResponse errorResponse(String reason);
 
     @Override
@@ -80,7 +80,7 @@
         inputScheduler.readComplete(drained);
     }
 
-    /** Writes responses that waited for the socket, and decodes buffered input. */
+    /** Writes responses that could not be written before, and decodes buffered input. */
     private void resume() {
         writeReadyResponses();
         try {
@@ -119,7 +119,7 @@
         return responses.size() < MAX_PENDING_RESPONSES && channel().isWritable();
     }
 
-    /** Returns whether all connections together are within their limit. */
+    /** Reports the bytes buffered here; returns whether all connections together are within their limit. */
     private boolean reportBufferedBytes() {
         int previous = reportedBytes;
         reportedBytes = lifecycle.acceptsRequests() ? in.capacity() + parserBytes() : 0;
@@ -127,8 +127,8 @@
     }
 
     /**
-     * Starts or stops reading. Input is read ahead of decoding up to a limit, since only reading shows that the client has
-     * disconnected.
+     * Starts or stops reading. Input is read ahead of decoding, up to a limit, because a disconnect is detected only by
+     * reading.
      */
     final void updateReading() {
         if (isOpen()) {
@@ -137,14 +137,14 @@
         }
     }
 
-    /** When the message that is being read arrived, at the latest, in milliseconds of the event loop's clock. */
+    /** The latest time at which the message being read can have arrived, in milliseconds of the event loop's clock. */
     protected final double arrivalTime() {
         return inputTracker.arrivalTime();
     }
 
-    /** Whether a disconnect of the client would be noticed now. */
-    final boolean noticesDisconnect() {
-        return isOpen() && inputTracker.noticesDisconnect();
+    /** Whether a disconnect of the client would be detected now. */
+    final boolean canDetectDisconnect() {
+        return isOpen() && inputTracker.canDetectDisconnect();
     }
 
     // Requests and responses.
@@ -162,7 +162,7 @@
         }
     }
 
-    /** Responds without a request to the endpoints. */
+    /** Responds without sending a request to an endpoint. */
     protected final void respond(PendingResponse response) {
         enqueue(response);
         writeReadyResponses();
@@ -175,7 +175,7 @@
         responses.add(response);
     }
 
-    /** Writes the responses that are next in order and ready. A fault in one of them ends this connection alone. */
+    /** Writes the responses that are ready, in order. An exception in one of them closes only this connection. */
     final void writeReadyResponses() {
         try {
             if (isOpen()) {
@@ -204,11 +204,13 @@
 
     @Override
     public final void onOutOfMemory() {
-        log.warn("network buffers exhausted", "responses wait until others are sent");
+        log.warn("network buffers exhausted", "responses are delayed until buffers are released");
         frontend.retryWrite(this);
     }
 
-    /** Closes with the response, since a request of an idle client is more likely to cross the close. */
+    /**
+     * Announces the close with the last response, since a later close is more likely to coincide with a new request.
+     */
     @Override
     public final void beforeLastResponse() {
         if (mayQuiesce()) {
@@ -217,9 +219,9 @@
     }
 
     @Override
-    public final void afterResponsesTaken() {
+    public final void afterResponsesDequeued() {
         if (lifecycle.acceptsRequests() && in.size() > 0) {
-            inputScheduler.schedule(); // the input may have waited for room in the queue
+            inputScheduler.schedule(); // decoding may have paused because the response queue was full
         }
         if (responses.isEmpty()) {
             idleSince = frontend.now();
@@ -239,7 +241,7 @@
             return;
         }
         if (isIdle()) {
-            frontend.connections().markIdle(this); // not before, or an eviction could cut the response off
+            frontend.connections().markIdle(this); // not earlier: an eviction could cut off the response
             if (mayQuiesce()) {
                 quiesce();
             }
@@ -254,53 +256,53 @@
         }
     }
 
-    // The end.
+    // Closing.
 
-    /** Whether nothing is lost if it is closed: no request, unwritten response or undecoded message. */
+    /** Whether closing loses nothing: no request, unwritten response or undecoded message. */
     final boolean isIdle() {
-        return lifecycle.acceptsRequests() && !owesResponse();
+        return lifecycle.acceptsRequests() && !hasPendingWork();
     }
 
-    /** Whether a response is owed or on its way to the socket, or what was read may hold a request. */
-    final boolean owesResponse() {
+    /** Whether a response is pending or not fully written, or input that was read may contain a request. */
+    final boolean hasPendingWork() {
         return inputScheduler.isScheduled() || !responses.isFlushed();
     }
 
-    /** When it was opened, or the last response was ready. */
+    /** When the connection was opened or its last response became ready. */
     final double idleSince() {
         return idleSince;
     }
 
-    /** Whether any input is here that has not become a request. */
+    /** Whether there is input that has not been decoded into a request. */
     final boolean hasBufferedInput() {
         return in.size() > 0 || isMidMessage();
     }
 
-    /** Closes it unless a message has just begun. */
+    /** Closes the connection unless input is buffered or about to be decoded. */
     final void closeIfUnused() {
         if (inputScheduler.isScheduled() || hasBufferedInput()) {
             idleSince = frontend.now();
-            frontend.connections().markIdle(this); // a message that stays incomplete is left to checkReadTimeout
+            frontend.connections().markIdle(this); // checkReadTimeout handles a message that stays incomplete
         } else {
             close();
         }
     }
 
-    /** Responds with an error if the rest of a message is overdue. */
+    /** Responds with an error if the rest of a message has not arrived in time. */
     final void checkReadTimeout() {
         if (isIdle() && inputTracker.isMessageOverdue()) {
             abandonMessage("a message stays half sent");
         }
     }
 
-    /** Closes it if the client has taken no response since before the given time, though some wait for it. */
+    /** Closes the connection if writes are pending and the client has accepted none since the given time. */
     final void checkWriteTimeout(double timeMs) {
         if (responses.isStalledSince(timeMs)) {
             close();
         }
     }
 
-    /** Requests that came before are still answered; then the connection is closed. */
+    /** Answers the requests that came before the malformed input, then closes the connection. */
     @Override
     protected final void onMalformed(String reason) {
         if (lifecycle.acceptsRequests()) {
@@ -321,12 +323,15 @@
         updateReading();
     }
 
-    /** Decodes no further request, as the client asked; the connection closes after its pending responses. */
-    protected final void stopReading() {
+    /** Decodes no further requests and closes the connection after its pending responses, as the client asked. */
+    protected final void closeAfterPendingResponses() {
         lifecycle.lastRequestRead();
     }
 
-    /** Whether this is the last response, which is then told to the client, so that no further request is answered. */
+    /**
+     * Whether the response being written is the last. If so, it announces the close, and no further request is
+     * answered.
+     */
     public final boolean announceClose() {
         return lifecycle.announceClose();
     }
@@ -341,7 +346,7 @@
         }
     }
 
-    /** Whether the connection is to be closed, and nothing that was read is still to be answered. */
+    /** Whether the frontend is draining and no input is buffered that may still need a response. */
     private boolean mayQuiesce() {
         return frontend.isDraining() && !hasBufferedInput();
     }
@@ -351,7 +356,7 @@
         updateReading();
     }
 
-    /** Waits for the pending writes, since a shutdown of the output drops what a slow client has not received. */
+    /** Shuts down the output, but only after all writes: it would drop data that a slow client has not received. */
     private void shutDownIfFlushed() {
         if (!isOpen() || !responses.isFlushed()) {
             return;
@@ -359,21 +364,21 @@
         if (lifecycle.isDraining()) {
             shutDownOutput();
         } else if (lifecycle.isQuiescing()) {
-            // The selector may have found input already, which is then read in this turn although reading has stopped.
-            channel().eventLoop().execute(this::shutDownIfQuiet);
+            // The selector may already have reported input, which is then read in this event loop iteration although
+            // reading has stopped.
+            channel().eventLoop().execute(this::shutDownIfStillQuiescing);
         }
     }
 
-    private void shutDownIfQuiet() {
+    private void shutDownIfStillQuiescing() {
         if (isOpen() && lifecycle.isQuiescing() && responses.isFlushed()) {
             shutDownOutput();
         }
     }
 
-    @SuppressWarnings(
-            "FutureReturnValueIgnored") // whatever became of it, the connection is closed after the linger time
+    @SuppressWarnings("FutureReturnValueIgnored") // the connection is closed after the linger time in any case
     private void shutDownOutput() {
-        // The output first: to close with unread input would reset responses on their way.
+        // Output first: closing with unread input would reset the connection and lose responses in transit.
         lifecycle.outputShutDown();
         ((DuplexChannel) channel()).shutdownOutput();
         updateReading();
@@ -385,6 +390,6 @@
         frontend.connections().remove(this);
         frontend.addBufferedBytes(-reportedBytes);
         reportedBytes = 0;
-        responses.removeAll().forEach(frontend::withdraw);
+        responses.removeAll().forEach(frontend::clientDisconnected);
     }
 }
--- a/gateway/src/main/java/stonelb/gateway/frontend/ConnectionLifecycle.java
+++ b/gateway/src/main/java/stonelb/gateway/frontend/ConnectionLifecycle.java
@@ -1,10 +1,10 @@
 package stonelb.gateway.frontend;
 
-/** The state of a client connection, and the named transitions between its states: the one place that decides on its end. */
+/** The state machine of a client connection, which decides when the connection stops accepting requests and closes. */
 final class ConnectionLifecycle {
     private ConnectionState state = ConnectionState.OPEN;
 
-    /** Whether what is read is thrown away: nothing that follows malformed input, or the last request, is a request. */
+    /** Whether input is read and discarded: nothing after malformed input or after the last request is a request. */
     private boolean discardsInput;
 
     /** Whether requests are decoded. */
@@ -12,17 +12,17 @@
         return state == ConnectionState.OPEN;
     }
 
-    /** Whether no response is followed by another request, so that the output is shut down once all are written. */
+    /** Whether no further requests are decoded, so that the output is shut down once all responses are written. */
     boolean isDraining() {
         return state == ConnectionState.DRAINING;
     }
 
-    /** Whether reading has been stopped for a graceful close, and nothing was read since. */
+    /** Whether reading has been stopped for a graceful close, and nothing has been read since. */
     boolean isQuiescing() {
         return state == ConnectionState.QUIESCING;
     }
 
-    /** Whether input may be read; {@code hasRoom} tells whether there is room for more. */
+    /** Whether input may be read; {@code hasRoom} is whether more input may be buffered. */
     boolean mayRead(boolean hasRoom) {
         return switch (state) {
             case OPEN -> hasRoom;
@@ -31,7 +31,7 @@
         };
     }
 
-    /** Input was read; returns whether it may hold requests. */
+    /** Called when input was read; returns whether it may contain requests. */
     boolean inputRead() {
         if (state == ConnectionState.QUIESCING) {
             state = ConnectionState.OPEN;
@@ -39,31 +39,31 @@
         return state == ConnectionState.OPEN;
     }
 
-    /** The input is malformed: no request can be told in what follows, which is read and thrown away. */
+    /** Called when the input is malformed. Later input can't be decoded, so it is read and discarded. */
     void inputMalformed() {
         state = ConnectionState.DRAINING;
         discardsInput = true;
     }
 
-    /** The client has sent its last request, as it said: what follows is no request. */
+    /** Called when the client has sent the request that it declared its last. Later input is read and discarded. */
     void lastRequestRead() {
         state = ConnectionState.DRAINING;
         discardsInput = true;
     }
 
-    /** A message that has begun is given up. What follows may hold requests, so that it is not read. */
+    /** Called when a partial message is abandoned. Later input may contain requests, so it is left unread. */
     void messageAbandoned() {
         state = ConnectionState.DRAINING;
     }
 
-    /** Nothing is owed, and the connection is to close. */
+    /** Called when the connection is to close and no response is pending after the one being written. */
     void quiesce() {
         if (state == ConnectionState.OPEN) {
             state = ConnectionState.QUIESCING;
         }
     }
 
-    /** Returns whether the response that is being written is the last; if so, the client is told, and there is no way back. */
+    /** Returns whether the response being written is the last; if so, it announces the close, which can't be undone. */
     boolean announceClose() {
         if (state == ConnectionState.QUIESCING) {
             state = ConnectionState.DRAINING;
@@ -71,7 +71,7 @@
         return state != ConnectionState.OPEN;
     }
 
-    /** The output has been shut down. */
+    /** Called when the output has been shut down. */
     void outputShutDown() {
         state = ConnectionState.LINGERING;
     }
--- a/gateway/src/main/java/stonelb/gateway/frontend/ConnectionRegistry.java
+++ b/gateway/src/main/java/stonelb/gateway/frontend/ConnectionRegistry.java
@@ -11,22 +11,22 @@
  * when there are too many.
  */
 final class ConnectionRegistry {
-    /** For the first complete request; clients expect a close within 3 s. */
+    /** Timeout for the first complete request; clients expect a close within 3 s. */
     private static final double FIRST_REQUEST_TIMEOUT_MS = 2000;
 
-    /** For a client that does not take its responses. */
+    /** Timeout for a client that does not read its responses. */
     private static final double WRITE_TIMEOUT_MS = 30_000;
 
-    /** Without a request in flight, while more than half of the permitted connections are open; at least 2 s. */
+    /** Timeout without a request in flight while more than half of the permitted connections are open; at least 2 s. */
     private static final double SHORT_IDLE_TIMEOUT_MS = 2200;
 
-    /** Without a request in flight, while at most half of the permitted connections are open. */
+    /** Timeout without a request in flight while at most half of the permitted connections are open. */
     private static final double LONG_IDLE_TIMEOUT_MS = 30_000;
 
-    /** A new connection without a request is not evicted before that: its request may be on the way. */
+    /** Minimum age before a connection without a request is evicted: its first request may be in transit. */
     private static final double NEW_CONNECTION_GRACE_MS = 250;
 
-    /** One call of {@link #drainIdle} closes one connection and this part of all. */
+    /** One call of {@link #drainIdle} closes one connection plus all connections divided by this number. */
     private static final int DRAIN_BATCH_DIVISOR = 64;
 
     private final RateLimitedLog log;
@@ -42,8 +42,8 @@
 
     /**
      * Adds a new connection. Beyond the limit the connection that has been unused for longest is closed instead, since
-     * clients may keep connections open for good; the new one, which most likely brings a request, is closed only where
-     * every other one is in use.
+     * clients may keep connections open indefinitely. The new connection most likely carries a request, so it is closed
+     * only if all others are in use.
      */
     void add(ClientConnection connection, double now) {
         connections.add(connection);
@@ -54,7 +54,7 @@
                 connection.close();
                 return;
             }
-            remove(evicted); // now, since onClosed comes later and another new connection may come before it
+            remove(evicted); // now: onClosed is called later, possibly after another new connection
             evicted.close();
         }
         withoutRequest.add(connection);
@@ -70,31 +70,34 @@
         return connections.isEmpty();
     }
 
-    /** The connection has a request in flight. */
+    /** Marks the connection as having a request in flight. */
     void markBusy(ClientConnection connection) {
         withoutRequest.remove(connection);
         idle.remove(connection);
     }
 
-    /** The connection has no request in flight any more. */
+    /** Marks the connection as having no request in flight. */
     void markIdle(ClientConnection connection) {
         if (connections.contains(connection)) {
             idle.add(connection);
         }
     }
 
-    /** Prefers a connection that never sent a request, unless it is new and another one is idle; null if none is idle. */
+    /**
+     * Returns the connection to evict, or null if none is idle. Prefers one that never sent a request, unless it is new
+     * and another one is idle.
+     */
     private ClientConnection evictionCandidate(double now) {
-        ClientConnection silentCandidate = firstUnused(withoutRequest);
+        ClientConnection noRequestCandidate = firstUnused(withoutRequest);
         ClientConnection idleCandidate = firstUnused(idle);
-        if (silentCandidate != null
-                && (now - silentCandidate.idleSince() > NEW_CONNECTION_GRACE_MS || idleCandidate == null)) {
-            return silentCandidate;
+        if (noRequestCandidate != null
+                && (now - noRequestCandidate.idleSince() > NEW_CONNECTION_GRACE_MS || idleCandidate == null)) {
+            return noRequestCandidate;
         }
         return idleCandidate;
     }
 
-    /** The first connection that has no input either, not even part of a message. */
+    /** The first idle connection without any input, not even part of a message; null if there is none. */
     private static ClientConnection firstUnused(Set<ClientConnection> candidates) {
         for (ClientConnection connection : candidates) {
             if (connection.isIdle() && !connection.hasBufferedInput()) {
@@ -104,7 +107,7 @@
         return null;
     }
 
-    /** Closes connections that are unused, and those with a read or a write that takes too long. */
+    /** Closes connections that have been unused for too long, and those whose read or write has timed out. */
     void closeExpired(double now) {
         closeIdle(withoutRequest, now - FIRST_REQUEST_TIMEOUT_MS);
         closeIdle(idle, now - idleTimeoutMs());
@@ -119,15 +122,15 @@
     }
 
     private static void closeIdle(Set<ClientConnection> candidates, double idleBefore) {
-        ClientConnection connection = first(candidates);
+        ClientConnection connection = firstOrNull(candidates);
         while (connection != null && connection.idleSince() < idleBefore) {
             candidates.remove(connection);
             connection.closeIfUnused();
-            connection = first(candidates);
+            connection = firstOrNull(candidates);
         }
     }
 
-    private static ClientConnection first(Set<ClientConnection> candidates) {
+    private static ClientConnection firstOrNull(Set<ClientConnection> candidates) {
         return candidates.isEmpty() ? null : candidates.iterator().next();
     }
 
@@ -135,7 +138,7 @@
      * Closes idle connections, longest idle first. Called repeatedly, it closes a few at a time: between two calls the
      * event loop reads all input, so that a connection with a new request is no longer idle.
      *
-     * @param all whether to close every idle connection, also one with part of a message
+     * @param all whether to close every idle connection, including those with part of a message
      */
     void drainIdle(boolean all) {
         int remaining = all ? connections.size() : 1 + connections.size() / DRAIN_BATCH_DIVISOR;
@@ -149,13 +152,13 @@
         }
     }
 
-    /** Has all connections start or stop reading, as the frontend has it. */
+    /** Has all connections start or stop reading, depending on the state of the frontend. */
     void updateReading() {
         new ArrayList<>(connections).forEach(ClientConnection::updateReading);
     }
 
-    /** Whether a response is owed on any connection. */
-    boolean oweResponses() {
-        return connections.stream().anyMatch(ClientConnection::owesResponse);
+    /** Whether a response is pending on any connection. */
+    boolean hasPendingResponses() {
+        return connections.stream().anyMatch(ClientConnection::hasPendingWork);
     }
 }
--- a/gateway/src/main/java/stonelb/gateway/frontend/Frontend.java
+++ b/gateway/src/main/java/stonelb/gateway/frontend/Frontend.java
@@ -12,7 +12,7 @@
  * Listens for client connections and admits their requests to the request table, within limits on connections, requests
  * in flight and memory.
  *
- * <p>Not thread-safe: all methods but {@link #listen} are called on the event loop.
+ * <p>Not thread-safe: all methods except {@link #listen} are called on the event loop.
  */
 public abstract class Frontend implements TimerCallback {
     /** Retry-After of a request that is rejected because a limit of the frontend is reached. */
@@ -20,16 +20,16 @@
 
     private static final double SWEEP_INTERVAL_MS = 250;
 
-    /** For the client to receive its last responses before the connection is closed. */
+    /** Delay before the connection is closed, for the client to receive its last responses. */
     private static final double CLOSE_LINGER_MS = 200;
 
-    /** Before a response for which there was no network buffer is written again. */
+    /** Delay before a response for which there was no network buffer is written again. */
     private static final double WRITE_RETRY_MS = 5;
 
-    /** Of the requests in flight, from a heap of 48 MB. */
+    /** Limit on the bytes of the requests in flight, out of a heap of 48 MB. */
     private static final long MAX_REQUEST_BYTES = 12L << 20;
 
-    /** Of input that is not decoded yet, over all connections. */
+    /** Limit on the bytes of input that is not decoded yet, over all connections. */
     private static final long MAX_BUFFERED_BYTES = 8L << 20;
 
     private final EventLoop loop;
@@ -48,7 +48,8 @@
     /**
      * Creates a frontend that does not listen yet.
      *
-     * @param inputClock tells when client connections were read: the event loop itself, but for synthetic input
+     * @param inputClock provides the times of reads from client connections: the event loop itself, except for
+     *     synthetic input
      * @param maxOpenRequests limit on requests in flight, over all frontends of the request table
      * @param maxConnections limit on the client connections of this frontend
      */
@@ -105,9 +106,9 @@
     }
 
     /**
-     * Accounts for input that connections hold.
+     * Accounts for input that connections have buffered.
      *
-     * @param change bytes more than before, or fewer if negative
+     * @param change the change in buffered bytes, negative for a decrease
      * @return whether the total is within the limit, which protects the heap from many partial messages
      */
     final boolean addBufferedBytes(int change) {
@@ -115,7 +116,7 @@
         return bufferedBytes <= MAX_BUFFERED_BYTES;
     }
 
-    /** Whether connections hold so much input that each should read little ahead. */
+    /** Whether so much input is buffered that connections should read less ahead. */
     final boolean isUnderMemoryPressure() {
         return bufferedBytes > MAX_BUFFERED_BYTES / 2;
     }
@@ -132,7 +133,7 @@
         requestTable.submit(request);
     }
 
-    /** The request has its response, whether it was submitted or not, or its client has disconnected. */
+    /** Called when the request has its response, whether it was submitted or not, or its client has disconnected. */
     final void requestEnded(FrontendRequest request) {
         if (request.clearSizeReserved()) {
             requestBytes -= request.sizeBytes();
@@ -143,32 +144,32 @@
     /** Called once per request when it ends, to release what is kept while it is open. */
     protected void onRequestEnded(FrontendRequest request) {}
 
-    /** The client of the request has disconnected. */
-    final void withdraw(FrontendRequest request) {
+    /** Called when the client of the request has disconnected. */
+    final void clientDisconnected(FrontendRequest request) {
         requestEnded(request);
         requestTable.withdraw(request);
     }
 
-    /** Runs a task with the next timers; where a task calls this, the event loop reads all connections before. */
-    final void runSoon(Runnable task) {
+    /** Runs a task with the next timers. If called from a task, the event loop reads all connections first. */
+    final void runWithNextTimers(Runnable task) {
         loop.timers().scheduleAfter(0, (now, token) -> task.run(), 0);
     }
 
-    /** Has the connection write its responses after a pause, in which others may have given memory back. */
+    /** Has the connection write its responses after a delay in which others may have released memory. */
     final void retryWrite(ClientConnection connection) {
         loop.timers().scheduleAfter(WRITE_RETRY_MS, (now, token) -> connection.writeReadyResponses(), 0);
     }
 
-    /** Closes the connection after a moment in which the client can receive what was written. */
+    /** Closes the connection after a delay in which the client can receive what was written. */
     final void closeAfterLinger(ClientConnection connection) {
         loop.timers().scheduleAfter(CLOSE_LINGER_MS, (now, token) -> connection.close(), 0);
     }
 
     /**
      * Starts draining: each connection closes after its next response. New connections are still accepted, since a
-     * client whose request crosses such a close sends it again.
+     * client whose request was in transit at the close sends it again.
      */
-    public final void leave() {
+    public final void startDraining() {
         draining = true;
     }
 
@@ -177,7 +178,7 @@
     }
 
     /** Rejects all further requests. */
-    public final void refuse() {
+    public final void rejectNewRequests() {
         rejecting = true;
     }
 
@@ -188,15 +189,15 @@
     /**
      * Closes idle connections, longest idle first and a few per call.
      *
-     * @param all whether to close every idle connection, also one with part of a message
+     * @param all whether to close every idle connection, including those with part of a message
      */
-    public final void finishIdle(boolean all) {
+    public final void closeIdleConnections(boolean all) {
         connections.drainIdle(all);
     }
 
     /**
-     * Reads and accepts nothing any more, as the last step before the program exits: what has been read is still answered,
-     * and what has not is left to the socket.
+     * Stops reading and accepting connections, as the last step before the program exits. Requests that have been read
+     * are still answered; other input stays in the sockets.
      */
     public final void stopReading() {
         reading = false;
@@ -210,13 +211,13 @@
         return reading;
     }
 
-    /** Whether a response is owed on any connection. */
-    public final boolean owesResponses() {
-        return connections.oweResponses();
+    /** Whether a response is pending on any connection. */
+    public final boolean hasPendingResponses() {
+        return connections.hasPendingResponses();
     }
 
     /** Whether no client connection is open. */
-    public final boolean empty() {
+    public final boolean hasNoConnections() {
         return connections.isEmpty();
     }
 }
--- a/gateway/src/main/java/stonelb/gateway/frontend/FrontendRequest.java
+++ b/gateway/src/main/java/stonelb/gateway/frontend/FrontendRequest.java
@@ -4,7 +4,7 @@
 import stonelb.core.RequestAttributes;
 import stonelb.gateway.endpoint.OutboundRequest;
 
-/** A request from a client connection, and its place in the order of that connection's responses. */
+/** A request from a client connection, which also holds its place in the order of that connection's responses. */
 public abstract class FrontendRequest extends ClientRequest implements OutboundRequest, PendingResponse {
     private final ClientConnection connection;
     private boolean sizeReserved;
@@ -22,8 +22,8 @@
     }
 
     @Override
-    protected final boolean isClientWatched() {
-        return connection.noticesDisconnect();
+    protected final boolean canDetectDisconnect() {
+        return connection.canDetectDisconnect();
     }
 
     /** Called by subclasses once the response can be written. */
@@ -40,7 +40,7 @@
         sizeReserved = true;
     }
 
-    /** Returns whether its bytes were still accounted for, and marks them as released. */
+    /** Marks its bytes as released; returns whether they were still accounted for. */
     final boolean clearSizeReserved() {
         boolean wasReserved = sizeReserved;
         sizeReserved = false;
--- a/gateway/src/main/java/stonelb/gateway/frontend/InputScheduler.java
+++ b/gateway/src/main/java/stonelb/gateway/frontend/InputScheduler.java
@@ -3,15 +3,15 @@
 import io.netty.channel.Channel;
 
 /**
- * When the input of one connection is read and decoded. Input is decoded after all connections have been read, and only
- * when this one has been read to the end of what had arrived, since the client's disconnect may come right behind its
- * requests.
+ * Schedules reading and decoding of the input of one connection. Input is decoded after all connections have been read,
+ * and only once this one has been read to the end of what had arrived, since a disconnect may directly follow the
+ * client's requests.
  */
 final class InputScheduler {
-    /** Bytes buffered and not decoded before reading pauses; holds the largest part of a message. */
+    /** Undecoded bytes at which reading pauses; enough for the largest part of a message. */
     private static final int READ_AHEAD_BYTES = 128 * 1024;
 
-    /** The same while the frontend is under memory pressure. */
+    /** Undecoded bytes at which reading pauses while the frontend is under memory pressure. */
     private static final int READ_AHEAD_UNDER_PRESSURE_BYTES = 16 * 1024;
 
     private final Frontend frontend;
@@ -20,7 +20,7 @@
     private Channel channel;
     private boolean scheduled;
 
-    /** Whether the latest turn of the event loop has read to the end of the input. */
+    /** Whether the latest iteration of the event loop has read to the end of the input. */
     private boolean readToEnd = true;
 
     /**
@@ -38,15 +38,15 @@
         channel = openChannel;
     }
 
-    /** Whether input waits to be decoded, or may wait. */
+    /** Whether decoding is scheduled because there is, or may be, undecoded input. */
     boolean isScheduled() {
         return scheduled;
     }
 
     /**
-     * The reads of one turn of the event loop are over.
+     * Called when the reads of one event loop iteration are complete.
      *
-     * @param drained whether they ended with the input, unless reading was stopped meanwhile
+     * @param drained whether they reached the end of the input, unless reading was stopped meanwhile
      */
     void readComplete(boolean drained) {
         readToEnd = drained;
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Has input decoded in a later task of this turn. */
+    /** Schedules decoding in a later task of this event loop iteration. */
     void schedule() {
         if (!scheduled) {
             scheduled = true;
@@ -69,14 +69,14 @@
         }
     }
 
-    /** Has input decoded after the event loop has read all connections once more, this one among them. */
+    /** Schedules decoding after the event loop has read all connections once more, including this one. */
     void scheduleAfterNextRead() {
         if (!scheduled) {
             scheduled = true;
             // A timer that is set from a task, not from a read, runs after the next read.
             channel.eventLoop().execute(() -> {
-                readToEnd = true; // unless the next read says otherwise
-                frontend.runSoon(this::run);
+                readToEnd = true; // unless the next read reports otherwise
+                frontend.runWithNextTimers(this::run);
             });
         }
     }
@@ -96,7 +96,10 @@
         decode.run();
     }
 
-    /** Whether more input may be read while so much is not decoded. A message that has begun is read to its end. */
+    /**
+     * Whether more input may be read with this many bytes undecoded. The lower limit does not apply to a partial
+     * message, which is read to its end.
+     */
     boolean mayReadAhead(int bufferedBytes) {
         boolean limited = frontend.isUnderMemoryPressure() && !tracker.hasPartialMessage();
         return bufferedBytes < (limited ? READ_AHEAD_UNDER_PRESSURE_BYTES : READ_AHEAD_BYTES);
--- a/gateway/src/main/java/stonelb/gateway/frontend/InputTracker.java
+++ b/gateway/src/main/java/stonelb/gateway/frontend/InputTracker.java
@@ -3,40 +3,45 @@
 import stonelb.io.InputClock;
 
 /**
- * When the input of one connection arrived, as far as that can be known, and whether all of it has been read. Only reading
- * shows that a client has disconnected.
+ * Tracks when the input of one connection arrived, as far as that can be determined, and whether all of it has been
+ * read. A disconnect of the client is detected only by reading.
  */
 final class InputTracker {
-    /** How long input may go unread before a disconnect counts as unnoticed; clients are owed 100 ms. */
+    /**
+     * How long input may go unread before a disconnect counts as undetected. No attempt may start more than 100 ms
+     * after a disconnect.
+     */
     private static final double MAX_UNREAD_MS = 50;
 
-    /** How much earlier than assumed a request may have arrived: the longest wait of an event loop with nothing to do. */
+    /** How much earlier than assumed a request may have arrived: the longest wait of an idle event loop. */
     private static final double MAX_ARRIVAL_ERROR_MS = 50;
 
-    /** For the next byte of a message that has begun; clients expect an error or a close within 3 s. */
+    /** Timeout for the next byte of a partial message; clients expect an error or a close within 3 s. */
     private static final double MESSAGE_PAUSE_LIMIT_MS = 2000;
 
-    /** For a whole message, so that a client that sends byte by byte does not hold its connection for good. */
+    /**
+     * Timeout for a complete message, so that a client that sends byte by byte can't keep its connection indefinitely.
+     */
     private static final double MESSAGE_DURATION_LIMIT_MS = 10_000;
 
     private static final double NONE = -1;
 
     private final InputClock clock;
 
-    /** Input that is read up to this number of reads may have arrived before the latest one. */
+    /** Input received up to this number of completed reads may have arrived before the latest read. */
     private long catchUpUntil;
 
-    /** Since when input may have arrived that is read while catching up. */
+    /** The earliest time at which input received while catching up may have arrived. */
     private double unreadSince;
 
-    /** The same for the oldest input that is not decoded, or {@link #NONE}. */
+    /** The earliest time at which the oldest undecoded input may have arrived, or {@link #NONE}. */
     private double undecodedSince = NONE;
 
-    /** Since when the connection is not read, or not completely; {@link #NONE} while it is. */
+    /** Since when the connection has not been read, or not to the end; {@link #NONE} while all input is read. */
     private double behindSince = NONE;
 
     private double lastReceivedAt;
-    private double messageBegunAt = NONE;
+    private double messageStartedAt = NONE;
 
     InputTracker(InputClock clock) {
         this.clock = clock;
@@ -44,7 +49,7 @@
         catchUpUntil = clock.completedReads() + 1;
     }
 
-    /** Input was read. */
+    /** Called when input was read. */
     void received() {
         lastReceivedAt = clock.now();
         if (undecodedSince == NONE) {
@@ -52,13 +57,13 @@
         }
     }
 
-    /** All input that was read has been decoded, but for part of a message. */
-    void decoded(boolean partOfMessage) {
+    /** Called when all input that was read has been decoded, except for part of a message. */
+    void decoded(boolean midMessage) {
         undecodedSince = NONE;
-        if (!partOfMessage) {
-            messageBegunAt = NONE;
-        } else if (messageBegunAt == NONE) {
-            messageBegunAt = clock.now();
+        if (!midMessage) {
+            messageStartedAt = NONE;
+        } else if (messageStartedAt == NONE) {
+            messageStartedAt = clock.now();
         }
     }
 
@@ -68,7 +73,7 @@
         return undecodedSince == NONE ? now : Math.min(now, undecodedSince + MAX_ARRIVAL_ERROR_MS);
     }
 
-    /** The connection is not read from now on, or was not read to the end of its input. */
+    /** Called when reading stops, or when the input was not read to its end. */
     void fellBehind() {
         if (behindSince == NONE) {
             behindSince = clock.now();
@@ -76,29 +81,30 @@
         }
     }
 
-    /** The connection is read again, from the next read on. */
+    /** Called when reading resumes, starting with the next read. */
     void resumed() {
         catchUpUntil = clock.completedReads() + 1;
     }
 
-    /** All that had arrived has been read. */
+    /** Called when all input that had arrived has been read. */
     void caughtUp() {
         behindSince = NONE;
     }
 
-    /** Whether a disconnect of the client would have been noticed, however busy the event loop is otherwise. */
-    boolean noticesDisconnect() {
+    /** Whether a disconnect of the client would have been detected, however busy the event loop is otherwise. */
+    boolean canDetectDisconnect() {
         return behindSince == NONE || clock.now() - behindSince <= MAX_UNREAD_MS;
     }
 
     boolean hasPartialMessage() {
-        return messageBegunAt != NONE;
+        return messageStartedAt != NONE;
     }
 
-    /** Whether the rest of a message that has begun is overdue. */
+    /** Whether the rest of a partial message is overdue. */
     boolean isMessageOverdue() {
         double now = clock.now();
         return hasPartialMessage()
-                && (now - lastReceivedAt > MESSAGE_PAUSE_LIMIT_MS || now - messageBegunAt > MESSAGE_DURATION_LIMIT_MS);
+                && (now - lastReceivedAt > MESSAGE_PAUSE_LIMIT_MS
+                        || now - messageStartedAt > MESSAGE_DURATION_LIMIT_MS);
     }
 }
--- a/gateway/src/main/java/stonelb/gateway/frontend/PendingResponse.java
+++ b/gateway/src/main/java/stonelb/gateway/frontend/PendingResponse.java
@@ -2,9 +2,9 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** A response that is owed on a client connection, in the place of its request. */
+/** A response that is still to be written on a client connection, in the order of the requests. */
 public interface PendingResponse {
-    /** Whether the response is known. */
+    /** Whether the response can be written. */
     boolean isReady();
 
     /** Writes the complete response. Called once, after {@link #isReady} and all earlier responses. */
--- a/gateway/src/main/java/stonelb/gateway/frontend/ResponseWriter.java
+++ b/gateway/src/main/java/stonelb/gateway/frontend/ResponseWriter.java
@@ -7,39 +7,39 @@
 import java.util.List;
 
 /**
- * The responses that a connection owes, in the order of its requests. They are written as far as the socket takes them:
- * what it does not take waits as it is, and not in network buffers, of which there are few.
+ * Writes the responses of a connection in the order of its requests, as far as the socket accepts them. The others stay
+ * unencoded in the queue, since memory for network buffers is scarce.
  */
 final class ResponseWriter {
     private static final int INITIAL_BUFFER_BYTES = 512;
 
-    /** Bytes of responses in one write; more are written once the socket has taken these. */
+    /** Size at which a batch of responses is written; the next batch is encoded only while the socket accepts more. */
     private static final int MAX_WRITE_BYTES = 32 * 1024;
 
-    /** The connection on which responses are written. */
+    /** The connection to which responses are written. */
     interface Output {
 
         /** The time in milliseconds. */
         double now();
 
-        /** Whether the socket takes more at present. */
+        /** Whether the socket currently accepts more. */
         boolean isWritable();
 
         /**
-         * A new buffer of that initial size.
+         * Allocates a buffer of the given initial size.
          *
-         * @throws OutOfMemoryError if the memory for network buffers is used up, as it may be for a moment
+         * @throws OutOfMemoryError if the memory for network buffers is exhausted, which may be temporary
          */
         ByteBuf newBuffer(int bytes);
 
         /** Called when a response waits for memory; {@link ResponseWriter#writeReady} is to be called again soon. */
         void onOutOfMemory();
 
-        /** Called before the last response that is owed is written. */
+        /** Called before the last pending response is written. */
         void beforeLastResponse();
 
-        /** Called when responses have been taken off the queue, before they are written. */
-        void afterResponsesTaken();
+        /** Called when responses have been removed from the queue, before they are written. */
+        void afterResponsesDequeued();
 
         /** Writes and flushes the buffer. */
         ChannelFuture write(ByteBuf out);
@@ -50,8 +50,8 @@
 
     private final Output output;
     private final ArrayDeque<PendingResponse> responses = new ArrayDeque<>();
-    private int pendingWrites; // that the socket has not completed
-    private double lastWriteAt; // when a write was begun while none was pending, or the last one was completed
+    private int pendingWrites; // writes that the socket has not completed
+    private double lastWriteAt; // when a write started while none was pending, or the last one completed
 
     ResponseWriter(Output output) {
         this.output = output;
@@ -61,27 +61,27 @@
         responses.add(response);
     }
 
-    /** The number of responses that are owed and not written. */
+    /** The number of responses that are not written yet. */
     int size() {
         return responses.size();
     }
 
-    /** Whether no response is owed, though one may still be on its way to the socket. */
+    /** Whether all responses have been written, though the socket may not have accepted all of them. */
     boolean isEmpty() {
         return responses.isEmpty();
     }
 
-    /** Whether the socket has taken no response since before the given time, though some wait for it. */
+    /** Whether writes are pending and the socket has completed none since the given time. */
     boolean isStalledSince(double timeMs) {
         return pendingWrites > 0 && lastWriteAt < timeMs;
     }
 
-    /** Whether all responses are written, and the socket has taken them. */
+    /** Whether all responses are written, and the socket has accepted them. */
     boolean isFlushed() {
         return responses.isEmpty() && pendingWrites == 0;
     }
 
-    /** Writes the responses at the head of the queue that are ready, as far as the socket takes them. */
+    /** Writes the responses at the head of the queue that are ready, as far as the socket accepts them. */
     void writeReady() {
         boolean hasMemory = true;
         while (hasMemory && isNextReady() && output.isWritable()) {
@@ -105,7 +105,7 @@
             out.release();
             return hasMemory;
         }
-        output.afterResponsesTaken();
+        output.afterResponsesDequeued();
         write(out);
         return hasMemory;
     }
@@ -125,7 +125,10 @@
         return !responses.isEmpty() && responses.peek().isReady();
     }
 
-    /** Takes responses off the queue; one for which there is no memory stays. Returns whether there was. */
+    /**
+     * Encodes ready responses and removes them from the queue. One for which there is not enough memory stays queued,
+     * and the result is then false.
+     */
     private boolean encodeReady(ByteBuf out) {
         while (isNextReady() && out.readableBytes() < MAX_WRITE_BYTES) {
             if (responses.size() == 1) {
@@ -143,7 +146,7 @@
         return true;
     }
 
-    /** Removes all responses and returns the requests among them that have none yet. */
+    /** Removes all responses and returns the requests among them that are not answered yet. */
     List<FrontendRequest> removeAll() {
         List<FrontendRequest> unanswered = new ArrayList<>();
         for (PendingResponse response : responses) {
--- a/gateway/src/main/java/stonelb/gateway/openapi/OpenApiConnection.java
+++ b/gateway/src/main/java/stonelb/gateway/openapi/OpenApiConnection.java
@@ -51,14 +51,14 @@
         }
         continueSent = false;
         if (!message.keepsAlive()) {
-            stopReading();
+            closeAfterPendingResponses();
         }
         handleRequest(message);
         return true;
     }
 
     private void handleRequest(HttpMessage message) {
-        RequestTarget target = RequestTarget.parse(message.second());
+        RequestTarget target = RequestTarget.parse(message.targetOrStatusCode());
         Routes.Match match;
         try {
             match = frontend.routes().match(target.path());
@@ -70,13 +70,13 @@
             respondProblem(message, NOT_FOUND, "the description has no such path", Map.of());
             return;
         }
-        Route route = match.route(message.first());
+        Route route = match.route(message.methodOrVersion());
         if (route == null) {
             respondProblem(
                     message,
                     METHOD_NOT_ALLOWED,
                     "the description has no such method on this path",
-                    Map.of("Allow", match.allow()));
+                    Map.of("Allow", match.allowHeader()));
             return;
         }
         submitRequest(message, target, route);
@@ -107,7 +107,7 @@
     }
 
     private void respondProblem(HttpMessage message, int status, String detail, Map<String, String> headers) {
-        boolean headRequest = message.first().equals("HEAD");
+        boolean headRequest = message.methodOrVersion().equals("HEAD");
         respond(new ProblemResponse(this, headRequest, status, detail, headers));
     }
 
--- a/gateway/src/main/java/stonelb/gateway/openapi/OpenApiFrontend.java
+++ b/gateway/src/main/java/stonelb/gateway/openapi/OpenApiFrontend.java
@@ -20,7 +20,7 @@
     private Routes routes; // of the current description; replaced on the event loop
 
     /**
-     * Reads the description and watches its file from then on.
+     * Reads the description and then watches its file for changes.
      *
      * @throws InvalidConfigurationException if the description is missing or invalid
      */
@@ -70,7 +70,7 @@
         return planIndexes;
     }
 
-    /** The deadline of a request class whose request states none, in milliseconds. */
+    /** The deadline of requests of a class that specify none, in milliseconds. */
     double deadlineMs(int requestClass) {
         return config.deadlinesMs().get(requestClass);
     }
--- a/gateway/src/main/java/stonelb/gateway/openapi/OpenApiSettings.java
+++ b/gateway/src/main/java/stonelb/gateway/openapi/OpenApiSettings.java
@@ -38,7 +38,7 @@
         try {
             JsonObject root = new Gson().fromJson(Files.readString(file), JsonObject.class);
             if (root == null || !root.has("enabled")) {
-                throw new InvalidConfigurationException(file + " does not say whether the front is enabled");
+                throw new InvalidConfigurationException(file + " does not say whether the frontend is enabled");
             }
             return root.get("enabled").getAsBoolean() ? parse(file, root) : null;
         } catch (IOException e) {
--- a/gateway/src/main/java/stonelb/gateway/openapi/RequestHeaders.java
+++ b/gateway/src/main/java/stonelb/gateway/openapi/RequestHeaders.java
@@ -6,13 +6,13 @@
 import stonelb.io.MalformedInputException;
 
 /**
- * What the headers of a request state about its customer.
+ * The customer, timeout and retry marker that the headers of a request specify.
  *
  * @param customer the customer's key
  * @param plan the index of the customer's plan
  * @param timeoutMs how long the client waits
- * @param spread the number of gateways that the customer's requests come through
- * @param retry whether the client sent the request before
+ * @param spread the number of gateways over which the customer's requests are spread
+ * @param retry whether the client has sent the request before
  */
 record RequestHeaders(long customer, int plan, double timeoutMs, int spread, boolean retry) {
     static final String TIME_LEFT = "x-time-left-ms";
@@ -22,12 +22,12 @@
     private static final int CUSTOMER_RADIX = 16;
 
     /**
-     * Parses the headers of a request. Since anyone may send a request in a customer's name, every value has to be in
-     * range before it counts towards that customer's quota.
+     * Parses the headers of a request. Since requests are not authenticated, every value has to be in range before it
+     * counts towards a customer's quota.
      *
      * @param planIndexes the indexes of the plans by name
      * @param gateways the number of gateways, the default and the maximum of the spread
-     * @param defaultTimeoutMs the timeout of a request that states none
+     * @param defaultTimeoutMs the timeout of a request that specifies none
      * @throws MalformedInputException if a header is missing or invalid; its message is sent to the client
      */
     static RequestHeaders parse(
--- a/gateway/src/main/java/stonelb/gateway/openapi/RequestTarget.java
+++ b/gateway/src/main/java/stonelb/gateway/openapi/RequestTarget.java
@@ -1,6 +1,6 @@
 package stonelb.gateway.openapi;
 
-/** The target of an HTTP request in origin form: a path and, behind a question mark, a query. */
+/** The target of an HTTP request in origin form: a path and, after a question mark, a query. */
 record RequestTarget(String value, int queryMark) {
     private static final String ABSOLUTE_FORM = "http://";
 
--- a/gateway/src/main/java/stonelb/gateway/openapi/RequiredParameters.java
+++ b/gateway/src/main/java/stonelb/gateway/openapi/RequiredParameters.java
@@ -16,22 +16,22 @@
      * @throws MalformedInputException naming what is missing; its message is sent to the client
      */
     static void check(Route route, HttpMessage message, String query) throws MalformedInputException {
-        for (String name : route.queries()) {
+        for (String name : route.requiredQueryParameters()) {
             if (!hasParameter(query, name)) {
                 throw new MalformedInputException("the query parameter " + name + " is missing");
             }
         }
-        for (String name : route.headers()) {
+        for (String name : route.requiredHeaders()) {
             if (!message.headers().containsKey(name)) {
                 throw new MalformedInputException("the header " + name + " is missing");
             }
         }
-        if (route.body() && message.body().length == 0) {
+        if (route.requiresBody() && message.body().length == 0) {
             throw new MalformedInputException("the body is missing");
         }
     }
 
-    /** Reads all parameters, so that a malformed one is an error wherever it stands. */
+    /** Decodes all parameters, so that a malformed one is an error at any position. */
     private static boolean hasParameter(String query, String name) throws MalformedInputException {
         boolean present = false;
         for (String parameter : query.split("&", 0)) {
--- a/gateway/src/main/java/stonelb/gateway/platform/PlatformConnection.java
+++ b/gateway/src/main/java/stonelb/gateway/platform/PlatformConnection.java
@@ -16,7 +16,7 @@
 /** A client connection that carries the platform's commands in RESP2. */
 final class PlatformConnection extends ClientConnection {
 
-    /** A RESP2 line with its type in front, such as {@code +OK}. */
+    /** A RESP2 line including its type prefix, such as {@code +OK}. */
     private record LineResponse(String line) implements CompletedResponse {
         @Override
         public void writeResponse(ByteBuf out) {
@@ -35,7 +35,7 @@
     @Override
     protected boolean readMessage() throws MalformedInputException {
         Object value = parser.next(in);
-        if (value == RespParser.MORE) {
+        if (value == RespParser.INCOMPLETE) {
             return false;
         }
         List<byte[]> arguments = arguments(value);
--- a/gateway/src/main/java/stonelb/gateway/platform/PlatformFrontend.java
+++ b/gateway/src/main/java/stonelb/gateway/platform/PlatformFrontend.java
@@ -34,7 +34,7 @@
         this(loop, loop, log, requestTable, config, maxConnections, isReady);
     }
 
-    /** Creates a frontend for synthetic input, which {@code inputClock} dates. */
+    /** Creates a frontend for synthetic input, whose arrival times {@code inputClock} provides. */
     public PlatformFrontend(
             EventLoop loop,
             InputClock inputClock,
--- a/gateway/src/main/java/stonelb/gateway/platform/PlatformRequest.java
+++ b/gateway/src/main/java/stonelb/gateway/platform/PlatformRequest.java
@@ -11,7 +11,7 @@
 import stonelb.gateway.platform.PlatformRequestParser.ParsedRequest;
 import stonelb.gateway.resp.RespWriter;
 
-/** A request that came as one of the platform's commands. */
+/** A request received as one of the platform's commands. */
 final class PlatformRequest extends FrontendRequest {
     private final List<byte[]> arguments;
     private final ParsedRequest parsed;
@@ -24,7 +24,7 @@
         this.parsed = parsed;
     }
 
-    /** The id that the client gave it. */
+    /** The request id chosen by the client. */
     String clientRequestId() {
         return new String(arguments.get(CommandArguments.REQUEST_ID), StandardCharsets.ISO_8859_1);
     }
@@ -43,7 +43,7 @@
         return Protocol.RESP;
     }
 
-    /** Writes all arguments as they came, except for the timeout. */
+    /** Writes all arguments unchanged, except for the timeout. */
     @Override
     public void writeTo(ByteBuf out, long remainingMs, String authority) {
         RespWriter.array(out, arguments.size());
--- a/gateway/src/main/java/stonelb/gateway/platform/PlatformRequestParser.java
+++ b/gateway/src/main/java/stonelb/gateway/platform/PlatformRequestParser.java
@@ -9,8 +9,8 @@
 import stonelb.io.MalformedInputException;
 
 /**
- * Parses the arguments of the commands {@code Q.ASK} and {@code Q.DO}. Since anyone may send a request in a customer's
- * name, every value has to be well-formed and in range before it counts towards that customer's quota.
+ * Parses the arguments of the commands {@code Q.ASK} and {@code Q.DO}. Since requests are not authenticated, every
+ * value has to be well-formed and in range before it counts towards a customer's quota.
  */
 final class PlatformRequestParser {
     private static final int CUSTOMER_DIGITS = 16;
@@ -26,13 +26,16 @@
     private final Map<String, Integer> classes;
     private final Map<String, Integer> plans;
 
-    /** What a request states; the digits of its timeout are at {@code timeoutStart} to {@code timeoutEnd} of its fields. */
+    /**
+     * The attributes of a request; the digits of its timeout are at {@code timeoutStart} to {@code timeoutEnd} of its
+     * fields.
+     */
     record ParsedRequest(RequestAttributes attributes, int timeoutStart, int timeoutEnd) {}
 
     PlatformRequestParser(Configuration config) {
         this.config = config;
         gateways = Math.max(1, config.settings().gateways());
-        maxUnits = config.settings().largestUnits() > 0 ? config.settings().largestUnits() : Double.MAX_VALUE;
+        maxUnits = config.settings().maxUnits() > 0 ? config.settings().maxUnits() : Double.MAX_VALUE;
         classes = NameIndex.of(config.classes());
         plans = NameIndex.of(config.plans());
     }
@@ -41,7 +44,7 @@
      * Parses a command.
      *
      * @param arrivedAt when the command arrived, on the event loop's clock, from which the timeout counts
-     * @param idempotent whether the command is the one of idempotent classes
+     * @param idempotent whether the command is the one for idempotent classes
      * @throws MalformedInputException if an argument is invalid; its message is sent to the client
      */
     ParsedRequest parse(double arrivedAt, boolean idempotent, List<byte[]> arguments) throws MalformedInputException {
--- a/gateway/src/main/java/stonelb/gateway/platform/RequestFields.java
+++ b/gateway/src/main/java/stonelb/gateway/platform/RequestFields.java
@@ -32,7 +32,7 @@
      *
      * @param classes the indexes of the request classes by name
      * @param plans the indexes of the plans by name
-     * @throws MalformedInputException if a value is malformed or given twice, or names no class or plan
+     * @throws MalformedInputException if a value is malformed or given twice, or names an unknown class or plan
      */
     static RequestFields parse(byte[] text, Map<String, Integer> classes, Map<String, Integer> plans)
             throws MalformedInputException {
@@ -77,14 +77,14 @@
         return index;
     }
 
-    private Integer parseName(Map<String, Integer> names, Integer previous, int start, int end, String what)
+    private Integer parseName(Map<String, Integer> names, Integer previous, int start, int end, String kind)
             throws MalformedInputException {
         Integer index = names.get(new String(text, start, end - start, StandardCharsets.UTF_8));
         if (index == null) {
-            throw new MalformedInputException("the " + what + " is not known");
+            throw new MalformedInputException("the " + kind + " is not known");
         }
         if (previous != null) {
-            throw new MalformedInputException("the " + what + " is there twice");
+            throw new MalformedInputException("the " + kind + " is there twice");
         }
         return index;
     }
@@ -132,7 +132,7 @@
         return timeoutStart;
     }
 
-    /** The position behind the timeout's last digit. */
+    /** The position after the timeout's last digit. */
     int timeoutEnd() {
         return timeoutEnd;
     }
@@ -142,7 +142,7 @@
         return units;
     }
 
-    /** The number of gateways that the customer's requests come through, or a negative value if it is missing. */
+    /** The number of gateways over which the customer's requests are spread, or a negative value if it is missing. */
     double spread() {
         return spread;
     }
@@ -152,7 +152,7 @@
         return first;
     }
 
-    /** Whether the client sent the request before. */
+    /** Whether the client has sent the request before. */
     boolean isRetry() {
         return retry;
     }
--- a/gateway/src/main/java/stonelb/gateway/resp/RespParser.java
+++ b/gateway/src/main/java/stonelb/gateway/resp/RespParser.java
@@ -7,11 +7,11 @@
 
 /**
  * Incremental parser of RESP2 values. A bulk string is a {@code byte[]}, an array a {@code List}, an integer a
- * {@code Long}, a simple string a {@link Line}, an error a {@link Fault}, and a null {@link #NULL}.
+ * {@code Long}, a simple string a {@link SimpleString}, an error a {@link SimpleError}, and a null {@link #NULL}.
  */
 public final class RespParser {
     /** The result of {@link #next} while the value is incomplete. */
-    public static final Object MORE = new Object();
+    public static final Object INCOMPLETE = new Object();
 
     /** A null bulk string or a null array. */
     public static final Object NULL = new Object();
@@ -23,30 +23,30 @@
     private static final int MAX_DEPTH = 4;
     private static final int NO_BULK = -1;
 
-    /** A simple string, without its type. */
-    public record Line(String text) {}
+    /** A simple string, without its type prefix. */
+    public record SimpleString(String text) {}
 
-    /** An error, without its type. */
-    public record Fault(String text) {}
+    /** An error, without its type prefix. */
+    public record SimpleError(String text) {}
 
     /** An array whose elements are not complete. */
     private static final class PartialArray {
-        final List<Object> items;
+        final List<Object> elements;
         final int length;
 
         PartialArray(int length) {
             this.length = length;
-            items = new ArrayList<>(length);
+            elements = new ArrayList<>(length);
         }
 
         boolean isComplete() {
-            return items.size() == length;
+            return elements.size() == length;
         }
     }
 
     private final List<PartialArray> openArrays = new ArrayList<>(MAX_DEPTH); // innermost last
     private int bulkLength = NO_BULK; // of the bulk string whose bytes are expected
-    private int bufferedBytes; // of the partial value, taken from the input
+    private int bufferedBytes; // of the partial value, consumed from the input
     private int scannedBytes; // of the partial line, without a line feed
 
     /** Whether part of a value has been read. */
@@ -54,22 +54,22 @@
         return !openArrays.isEmpty() || bulkLength >= 0 || scannedBytes > 0;
     }
 
-    /** Bytes of the partial value that were taken from the input. */
+    /** Bytes of the partial value that were consumed from the input. */
     public int bufferedBytes() {
         return bufferedBytes;
     }
 
     /**
-     * Takes the next value from the input.
+     * Reads the next value from the input.
      *
-     * @return the value, or {@link #MORE} if the input does not hold all of it yet
+     * @return the value, or {@link #INCOMPLETE} if the input does not hold all of it yet
      * @throws MalformedInputException if the input is not RESP2 or exceeds a limit; the parser must not be used again
      */
     public Object next(InputBuffer in) throws MalformedInputException {
         while (true) {
             Object value = bulkLength >= 0 ? readBulk(in) : readLine(in);
-            if (value == MORE) {
-                return MORE;
+            if (value == INCOMPLETE) {
+                return INCOMPLETE;
             }
             while (value != null) {
                 if (openArrays.isEmpty()) {
@@ -85,17 +85,17 @@
     private Object addToArray(Object value) {
         int innermost = openArrays.size() - 1;
         PartialArray array = openArrays.get(innermost);
-        array.items.add(value);
+        array.elements.add(value);
         if (!array.isComplete()) {
             return null;
         }
         openArrays.remove(innermost);
-        return array.items;
+        return array.elements;
     }
 
     private Object readBulk(InputBuffer in) throws MalformedInputException {
         if (in.size() < bulkLength + 2) {
-            return MORE;
+            return INCOMPLETE;
         }
         if (in.at(bulkLength) != '\r' || in.at(bulkLength + 1) != '\n') {
             throw new MalformedInputException("a bulk string does not end where its length says");
@@ -106,7 +106,10 @@
         return value;
     }
 
-    /** Reads a line: a complete value, or null if it begins a value that further input completes. */
+    /**
+     * Reads a line. Returns the value if the line completes one, null if the rest of the value follows, or {@link
+     * #INCOMPLETE}.
+     */
     private Object readLine(InputBuffer in) throws MalformedInputException {
         int lineFeed = in.lineEnd(scannedBytes);
         if (lineFeed < 0) {
@@ -116,7 +119,7 @@
             throw new MalformedInputException("a line is too long");
         }
         if (lineFeed < 0) {
-            return MORE;
+            return INCOMPLETE;
         }
         if (lineFeed < 2 || in.at(lineFeed - 1) != '\r') {
             throw new MalformedInputException("a line is empty or has no carriage return");
@@ -126,8 +129,8 @@
         in.skip(lineFeed + 1);
         scannedBytes = 0;
         return switch (type) {
-            case '+' -> new Line(text);
-            case '-' -> new Fault(text);
+            case '+' -> new SimpleString(text);
+            case '-' -> new SimpleError(text);
             case ':' -> parseNumber(text);
             case '$' -> beginBulk(parseNumber(text));
             case '*' -> beginArray(parseNumber(text));
--- a/gateway/src/main/java/stonelb/gateway/resp/RespWriter.java
+++ b/gateway/src/main/java/stonelb/gateway/resp/RespWriter.java
@@ -28,7 +28,7 @@
         lineEnd(out);
     }
 
-    /** Writes a line that has its type in front, such as {@code +OK} or {@code -BUSY}. */
+    /** Writes a line including its type prefix, such as {@code +OK} or {@code -BUSY}. */
     public static void line(ByteBuf out, String line) {
         out.writeCharSequence(line, StandardCharsets.UTF_8);
         lineEnd(out);
--- a/gateway/src/test/java/stonelb/discovery/LongDayTest.java
+++ b/gateway/src/test/java/stonelb/discovery/EndpointChurnTest.java
@@ -33,8 +33,10 @@
 import stonelb.io.RateLimitedLog;
 import stonelb.standins.ObjectGraphSize;
 
-/** No state accumulates on a day on which endpoints are replaced all the time and every customer comes once. */
-class LongDayTest {
+/**
+ * Detects state that accumulates while endpoints are replaced continuously and every customer sends a single request.
+ */
+class EndpointChurnTest {
     private static final int ROUNDS = 400;
     private static final int ROUND_MS = 1000;
     private static final InetSocketAddress DISCOVERY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
@@ -67,33 +69,33 @@
             timers,
             new EndpointConnector() {
                 @Override
-                public void send(Attempt a) {
-                    attempts.add(a);
+                public void send(Attempt attempt) {
+                    attempts.add(attempt);
                 }
 
                 @Override
-                public boolean abandon(Attempt a) {
-                    return !attempts.remove(a);
+                public boolean abandon(Attempt attempt) {
+                    return !attempts.remove(attempt);
                 }
             },
-            (name, amount, keep) -> counterNames.add(name),
+            (name, amount, keepMs) -> counterNames.add(name),
             e -> {
                 throw e;
             });
 
     private static final class OneTimeRequest extends ClientRequest {
-        OneTimeRequest(RequestAttributes terms) {
-            super(terms);
+        OneTimeRequest(RequestAttributes attributes) {
+            super(attributes);
         }
 
         @Override
-        protected void served(Response reply) {}
+        protected void served(Response response) {}
 
         @Override
         protected void rejected(double retryAfterMs) {}
 
         @Override
-        protected void failed(FailureReason why) {}
+        protected void failed(FailureReason reason) {}
     }
 
     private static String endpointEntry(int number, String status) {
@@ -107,14 +109,14 @@
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    private int[] runDay(EventLoop loop) throws MalformedInputException, IllegalAccessException {
+    private int[] countObjects(EventLoop loop) throws MalformedInputException, IllegalAccessException {
         EndpointConnections connections = new EndpointConnections(loop, new RateLimitedLog(), 250, 30_000, 64, 0);
         EndpointList endpointList = new EndpointList(
                 List.of("a"),
                 new EndpointStartTimes(() -> clock, () -> clock),
                 requests::endpointsChanged,
                 connections);
-        connections.begin(requests);
+        connections.start(requests);
         endpointList.apply(endpointListJson(0, endpointEntry(0, "in_service")), DISCOVERY);
         int[] objectCounts = new int[2];
         for (int round = 1; round <= ROUNDS; round++) {
@@ -150,7 +152,7 @@
         CompletableFuture<int[]> done = new CompletableFuture<>();
         loop.execute(() -> {
             try {
-                done.complete(runDay(loop));
+                done.complete(countObjects(loop));
             } catch (Exception | Error e) {
                 done.completeExceptionally(e);
             }
@@ -158,6 +160,6 @@
         int[] objectCounts = done.get(60, TimeUnit.SECONDS);
         assertTrue(
                 objectCounts[1] <= objectCounts[0] + 30,
-                "objects at half of the day " + objectCounts[0] + ", at its end " + objectCounts[1]);
+                "objects after half of the rounds " + objectCounts[0] + ", after all " + objectCounts[1]);
     }
 }
--- a/gateway/src/test/java/stonelb/gateway/ClientConnectionFaultsTest.java
+++ b/gateway/src/test/java/stonelb/gateway/ClientConnectionFaultsTest.java
@@ -27,8 +27,8 @@
 import stonelb.standins.StubServer;
 
 /**
- * Crossings on a client connection, each forced: what was read as a request is answered or never begun, and what may be
- * left unread is.
+ * Provokes race conditions on a client connection. Every request that was read must be answered or, if its client has
+ * disconnected, not be started; later input must stay unread where the client is to send it again.
  */
 class ClientConnectionFaultsTest {
     @TempDir
@@ -44,9 +44,9 @@
     void start() throws Exception {
         endpoint = new StubServer((in, out) -> {
             while (true) {
-                List<String> words = StubServer.command(in);
-                String id = words.get(2);
-                receivedFields.put(id, words.get(3));
+                List<String> command = StubServer.readCommand(in);
+                String id = command.get(2);
+                receivedFields.put(id, command.get(3));
                 outputs.put(id, out);
                 receivedIds.add(id);
                 if (!id.startsWith("held")) {
@@ -68,51 +68,56 @@
     }
 
     private void awaitReceived(String id) throws InterruptedException {
-        GatewayProcess.until(id + " has reached the endpoint", () -> receivedIds.contains(id));
+        GatewayProcess.awaitCondition(id + " has reached the endpoint", () -> receivedIds.contains(id));
     }
 
     /**
-     * The selector finds a response and the next request of the same client at once. The connection closes with the
-     * response, and the request is read all the same.
+     * While the frontend is draining, the selector reports an endpoint's response and the client's next request at
+     * once. The connection is to close with the response, but the request has been read and must be answered.
      */
     @Test
-    void requestReadInTheTurnOfTheLastResponseIsAnswered() throws Exception {
+    void requestReadInSameLoopIterationAsLastResponseIsAnswered() throws Exception {
         try (Client client = gateway.connectClient()) {
             client.write(InProcessGateway.request("held"));
             awaitReceived("held");
-            gateway.run(gateway.frontend()::leave);
-            gateway.holdWhile(() -> {
+            gateway.run(gateway.frontend()::startDraining);
+            gateway.blockLoopDuring(() -> {
                 StubServer.write(outputs.get("held"), response("held"));
                 client.write(InProcessGateway.request("next"));
             });
-            assertEquals("held", StubServer.resp(client.in));
-            assertEquals("next", StubServer.resp(client.in));
-            assertEquals(-1, client.in.read(), "and then it closes");
+            assertEquals("held", StubServer.readResp(client.in));
+            assertEquals("next", StubServer.readResp(client.in));
+            assertEquals(-1, client.in.read(), "the connection is closed after the last response");
         }
     }
 
-    /** What follows the error for a message that stayed incomplete may hold whole requests, so it is left unread. */
+    /**
+     * Input that follows after the error for an incomplete message may contain complete requests, so it must stay
+     * unread.
+     */
     @Test
-    void inputBehindTheErrorForAnOverdueMessageIsNotRead() throws Exception {
+    void inputAfterIncompleteMessageTimeoutIsNotRead() throws Exception {
         try (Client client = gateway.connectClient()) {
-            String request = InProcessGateway.request("late");
+            String request = InProcessGateway.request("overdue");
             client.write(request.substring(0, 20));
-            GatewayProcess.until("it is read", () -> gateway.channels.bytesRead.get() >= 20);
-            EventLoopTasks.awaitPass(gateway.loop());
+            GatewayProcess.awaitCondition("the input is read", () -> gateway.channels.bytesRead.get() >= 20);
+            EventLoopTasks.awaitIteration(gateway.loop());
             gateway.clock.step(2500);
             gateway.run(() -> gateway.frontend().onTimer(gateway.loop().now(), 0));
-            assertEquals("-ERR Protocol error: a message stays half sent", StubServer.resp(client.in));
+            assertEquals("-ERR Protocol error: a message stays half sent", StubServer.readResp(client.in));
             long readBefore = gateway.channels.bytesRead.get();
             client.write(request.substring(20) + InProcessGateway.request("another"));
             assertEquals(-1, client.in.read());
             gateway.clock.step(300);
-            GatewayProcess.until("it is closed", () -> EventLoopTasks.call(gateway.loop(), gateway.frontend()::empty));
+            GatewayProcess.awaitCondition(
+                    "the connection is closed",
+                    () -> EventLoopTasks.call(gateway.loop(), gateway.frontend()::hasNoConnections));
             assertEquals(readBefore, gateway.channels.bytesRead.get());
             assertThrows(IOException.class, () -> client.write("x"), "unread input has reset the connection");
         }
     }
 
-    /** A client that writes slowly has not stopped. */
+    /** A client that keeps sending slowly must not run into the timeout for incomplete messages. */
     @Test
     void slowlyWrittenRequestIsServed() throws Exception {
         try (Client client = gateway.connectClient()) {
@@ -120,52 +125,55 @@
             for (int start = 0; start < request.length(); start += 20) {
                 long readBefore = gateway.channels.bytesRead.get();
                 client.write(request.substring(start, Math.min(request.length(), start + 20)));
-                GatewayProcess.until("it is read", () -> gateway.channels.bytesRead.get() > readBefore);
-                EventLoopTasks.awaitPass(gateway.loop());
+                GatewayProcess.awaitCondition("the input is read", () -> gateway.channels.bytesRead.get() > readBefore);
+                EventLoopTasks.awaitIteration(gateway.loop());
                 gateway.clock.step(1000);
                 gateway.run(() -> gateway.frontend().onTimer(gateway.loop().now(), 0));
             }
-            assertEquals("slow", StubServer.resp(client.in));
+            assertEquals("slow", StubServer.readResp(client.in));
         }
     }
 
-    /** Requests ahead of one that stays incomplete get their responses first, then comes the error. */
+    /** Requests before a message that stays incomplete must get their responses before the error is sent. */
     @Test
-    void requestsAheadOfAnOverdueMessageAreAnswered() throws Exception {
+    void requestsBeforeTimedOutMessageAreAnswered() throws Exception {
         try (Client client = gateway.connectClient()) {
             client.write(InProcessGateway.request("held") + "*5\r\n$5\r\nQ.A");
             awaitReceived("held");
             gateway.clock.step(2500);
             gateway.run(() -> gateway.frontend().onTimer(gateway.loop().now(), 0));
             StubServer.write(outputs.get("held"), response("held"));
-            assertEquals("held", StubServer.resp(client.in));
+            assertEquals("held", StubServer.readResp(client.in));
             gateway.run(() -> gateway.frontend().onTimer(gateway.loop().now(), 0));
-            assertEquals("-ERR Protocol error: a message stays half sent", StubServer.resp(client.in));
+            assertEquals("-ERR Protocol error: a message stays half sent", StubServer.readResp(client.in));
             assertEquals(-1, client.in.read());
         }
     }
 
-    /** Short reads end a turn of the event loop before the client's disconnect, which is next in the socket. */
+    /**
+     * Short reads use up an event loop iteration before the client's disconnect, which is next in the socket, is read.
+     * The request must not be started before that.
+     */
     @Test
-    void requestIsNotBegunBeforeTheDisconnectBehindItIsRead() throws Exception {
+    void requestIsNotStartedBeforeFollowingDisconnectIsRead() throws Exception {
         openEndpointConnections();
         String request = InProcessGateway.request("gone");
-        gateway.channels.maxReadBytes = (request.length() + 7) / 8; // eight reads, as many as a turn has
+        gateway.channels.maxReadBytes = (request.length() + 7) / 8; // eight reads, the maximum per event loop iteration
         Client client = new Client(gateway.port());
-        gateway.holdWhile(() -> {
+        gateway.blockLoopDuring(() -> {
             client.write(request);
             client.close();
             gateway.clock.step(200);
         });
-        try (Client follower = gateway.connectClient()) {
+        try (Client nextClient = gateway.connectClient()) {
             client.close();
-            follower.write(InProcessGateway.request("next"));
-            assertEquals("next", StubServer.resp(follower.in));
+            nextClient.write(InProcessGateway.request("next"));
+            assertEquals("next", StubServer.readResp(nextClient.in));
         }
         assertEquals(List.of("next"), receivedIds);
     }
 
-    /** Opens a connection to each endpoint, so that the next attempt is written at once. */
+    /** Opens a connection to each endpoint, so that the next attempt is written immediately. */
     private void openEndpointConnections() throws Exception {
         try (Client client = gateway.connectClient()) {
             client.write(InProcessGateway.request("held1") + InProcessGateway.request("held2"));
@@ -173,7 +181,7 @@
             awaitReceived("held2");
             for (String id : List.of("held1", "held2")) {
                 StubServer.write(outputs.get(id), response(id));
-                assertEquals(id, StubServer.resp(client.in));
+                assertEquals(id, StubServer.readResp(client.in));
             }
         }
         gateway.clock.step(50); // the quiet period of both connections
@@ -183,50 +191,53 @@
         receivedIds.clear();
     }
 
-    /** A full pipeline hides the client's disconnect, since input behind it is not read. */
+    /**
+     * While a client's pipeline is full, its input is not read and a disconnect goes undetected. No attempt may start
+     * then.
+     */
     @Test
-    void noAttemptBeginsForAClientWhoseInputIsNotRead() throws Exception {
+    void noAttemptStartsForDisconnectedClientWhoseInputIsNotRead() throws Exception {
         Client client = gateway.connectClient();
-        StringBuilder many = new StringBuilder();
+        StringBuilder pipeline = new StringBuilder();
         for (int i = 0; i < 4000; i++) {
-            many.append(InProcessGateway.request("held" + i));
+            pipeline.append(InProcessGateway.request("held" + i));
         }
-        client.write(many.toString());
-        awaitReadsToEnd();
+        client.write(pipeline.toString());
+        awaitNoMoreReads();
         client.close();
         gateway.clock.step(200);
         int startedBefore = gateway.startedAttempts.size();
         Attempt first = gateway.startedAttempts.poll(20, TimeUnit.SECONDS);
         gateway.run(() -> gateway.requests().attemptEnded(first, Outcome.OK, new RespResponse(new byte[] {'v'})));
         for (int pass = 0; pass < 20; pass++) {
-            EventLoopTasks.awaitPass(gateway.loop());
+            EventLoopTasks.awaitIteration(gateway.loop());
         }
         assertEquals(startedBefore - 1, gateway.startedAttempts.size());
     }
 
-    /** Waits until the gateway has read nothing for many passes of the event loop. */
-    private void awaitReadsToEnd() throws Exception {
-        long read = -1;
-        while (read != gateway.channels.bytesRead.get()) {
-            read = gateway.channels.bytesRead.get();
+    /** Waits until the gateway has read nothing for many iterations of the event loop. */
+    private void awaitNoMoreReads() throws Exception {
+        long bytesRead = -1;
+        while (bytesRead != gateway.channels.bytesRead.get()) {
+            bytesRead = gateway.channels.bytesRead.get();
             for (int pass = 0; pass < 100; pass++) {
-                EventLoopTasks.awaitPass(gateway.loop());
+                EventLoopTasks.awaitIteration(gateway.loop());
             }
         }
     }
 
-    /** A client that stays is served again once its input is read. */
+    /** A client that stays connected is served again once its input is read. */
     @Test
-    void clientWhosePipelineWasFullIsServedAgain() throws Exception {
+    void clientIsServedAfterPipelineWasFull() throws Exception {
         try (Client client = gateway.connectClient()) {
             int requests = 4000;
-            StringBuilder many = new StringBuilder();
+            StringBuilder pipeline = new StringBuilder();
             for (int i = 0; i < requests; i++) {
-                many.append(InProcessGateway.request("many" + i));
+                pipeline.append(InProcessGateway.request("many" + i));
             }
-            client.write(many.toString());
+            client.write(pipeline.toString());
             for (int i = 0; i < requests; i++) {
-                String response = StubServer.resp(client.in);
+                String response = StubServer.readResp(client.in);
                 assertTrue(response.equals("many" + i) || response.startsWith("-BUSY"), i + ": " + response);
             }
             assertEquals("last", ask(client, "last"));
@@ -235,44 +246,55 @@
 
     private static String ask(Client client, String id) throws IOException {
         client.write(InProcessGateway.request(id));
-        return StubServer.resp(client.in);
+        return StubServer.readResp(client.in);
     }
 
-    /** The event loop was held up after the request came: the endpoint must not be told more than the client has left. */
+    /**
+     * The event loop is blocked after the requests arrive. The timeout sent to the endpoint must not exceed the time
+     * the client has left.
+     */
     @Test
-    void deadlinePassedOnCountsFromWhenTheRequestCame() throws Exception {
+    void forwardedTimeoutCountsFromRequestArrival() throws Exception {
         try (Client client = gateway.connectClient();
-                Client fresh = new Client(gateway.port())) {
-            gateway.holdWhile(() -> {
+                Client newClient = new Client(gateway.port())) {
+            gateway.blockLoopDuring(() -> {
                 client.write(InProcessGateway.request("known"));
-                fresh.write(InProcessGateway.request("new"));
+                newClient.write(InProcessGateway.request("new"));
                 gateway.clock.step(3000);
             });
-            assertEquals("known", StubServer.resp(client.in));
-            assertEquals("new", StubServer.resp(fresh.in));
+            assertEquals("known", StubServer.readResp(client.in));
+            assertEquals("new", StubServer.readResp(newClient.in));
             for (String id : List.of("known", "new")) {
                 String fields = receivedFields.get(id);
                 int leftMs = Integer.parseInt(fields.replaceAll(".*,d=(\\d+),.*", "$1"));
-                assertTrue(leftMs <= 9000 - 3000 + 150, id + " was given " + leftMs + " ms of 6000");
+                assertTrue(
+                        leftMs <= 9000 - 3000 + 150,
+                        id + " was forwarded with " + leftMs + " ms instead of at most 6000");
             }
         }
     }
 
-    /** A client that takes nothing for 30 s is closed, also while requests of it are in flight; others are served. */
+    /**
+     * A connection whose client reads nothing for 30 s is closed, even with requests in flight; other clients are
+     * served.
+     */
     @Test
-    void connectionWhoseClientTakesNoResponseIsClosed() throws Exception {
+    void connectionIsClosedWhenClientReadsNoResponse() throws Exception {
         try (Client stalled = gateway.connectClient()) {
             stalled.write(InProcessGateway.request("held"));
             awaitReceived("held");
             gateway.channels.writeBudget.set(1);
             StubServer.write(outputs.get("held"), response("held"));
-            GatewayProcess.until("a part is written", () -> gateway.channels.writeBudget.get() == 0);
+            GatewayProcess.awaitCondition(
+                    "part of the response is written", () -> gateway.channels.writeBudget.get() == 0);
             gateway.clock.step(29_000);
             gateway.run(() -> gateway.frontend().onTimer(gateway.loop().now(), 0));
-            assertTrue(EventLoopTasks.call(gateway.loop(), gateway.frontend()::owesResponses));
+            assertTrue(EventLoopTasks.call(gateway.loop(), gateway.frontend()::hasPendingResponses));
             gateway.clock.step(2000);
             gateway.run(() -> gateway.frontend().onTimer(gateway.loop().now(), 0));
-            GatewayProcess.until("it is closed", () -> EventLoopTasks.call(gateway.loop(), gateway.frontend()::empty));
+            GatewayProcess.awaitCondition(
+                    "the connection is closed",
+                    () -> EventLoopTasks.call(gateway.loop(), gateway.frontend()::hasNoConnections));
             gateway.channels.writeBudget.set(Long.MAX_VALUE);
             try (Client other = gateway.connectClient()) {
                 assertEquals("other", ask(other, "other"));
@@ -280,24 +302,27 @@
         }
     }
 
-    /** Other clients' unfinished messages leave little memory; a large request that has begun is still read to its end. */
+    /**
+     * Partial messages of other clients leave little memory; a large request that has been read in part must still be
+     * read to its end.
+     */
     @Test
     void largeRequestIsServedUnderMemoryPressure() throws Exception {
         List<Client> others = new ArrayList<>();
         try (Client client = gateway.connectClient()) {
-            String part = "*5\r\n$5\r\nQ.ASK\r\n$65000\r\n" + "x".repeat(64_000);
+            String partialCommand = "*5\r\n$5\r\nQ.ASK\r\n$65000\r\n" + "x".repeat(64_000);
             for (int i = 0; i < 45; i++) {
                 Client other = gateway.connectClient();
-                other.write(part);
+                other.write(partialCommand);
                 others.add(other);
             }
-            awaitReadsToEnd();
+            awaitNoMoreReads();
             String fields = "c=read,t=open,d=9000,units=1,spread=1,first=0";
             client.write("*5\r\n$5\r\nQ.ASK\r\n$16\r\n0000000000000001\r\n$5\r\nlarge\r\n$" + fields.length() + "\r\n"
                     + fields + "\r\n$60000\r\n" + "x".repeat(20_000));
-            awaitReadsToEnd();
+            awaitNoMoreReads();
             client.write("x".repeat(40_000) + "\r\n");
-            assertEquals("large", StubServer.resp(client.in));
+            assertEquals("large", StubServer.readResp(client.in));
         } finally {
             for (Client other : others) {
                 other.close();
@@ -305,20 +330,21 @@
         }
     }
 
-    /** The last step before the exit: what was read is answered, what was not stays in the socket. */
+    /** As the last step before the exit, requests that were read are answered, and other input stays in the socket. */
     @Test
-    void frontendThatHasStoppedReadingAnswersWhatItHasReadAndNothingElse() throws Exception {
+    void onlyRequestsAlreadyReadAreAnsweredAfterStopReading() throws Exception {
         try (Client client = gateway.connectClient()) {
             client.write(InProcessGateway.request("held"));
             awaitReceived("held");
             gateway.run(gateway.frontend()::stopReading);
             long readBefore = gateway.channels.bytesRead.get();
             client.write(InProcessGateway.request("next"));
-            assertTrue(EventLoopTasks.call(gateway.loop(), gateway.frontend()::owesResponses));
+            assertTrue(EventLoopTasks.call(gateway.loop(), gateway.frontend()::hasPendingResponses));
             StubServer.write(outputs.get("held"), response("held"));
-            assertEquals("held", StubServer.resp(client.in));
-            GatewayProcess.until(
-                    "nothing is owed", () -> !EventLoopTasks.call(gateway.loop(), gateway.frontend()::owesResponses));
+            assertEquals("held", StubServer.readResp(client.in));
+            GatewayProcess.awaitCondition(
+                    "no response is pending",
+                    () -> !EventLoopTasks.call(gateway.loop(), gateway.frontend()::hasPendingResponses));
             assertEquals(readBefore, gateway.channels.bytesRead.get());
             assertEquals(List.of("held"), receivedIds);
         }
--- a/gateway/src/test/java/stonelb/gateway/ClientDisconnectTest.java
+++ b/gateway/src/test/java/stonelb/gateway/ClientDisconnectTest.java
@@ -22,8 +22,8 @@
 import stonelb.standins.StubServer;
 
 /**
- * Clients that close their connection while their requests wait: no attempt starts more than 0.1 s later, wherever they
- * wait. The test blocks the event loop so that each race happens.
+ * Clients that close their connection while their requests wait: no attempt may start more than 0.1 s later, whatever
+ * the requests wait for. The tests block the event loop to provoke each race condition.
  */
 class ClientDisconnectTest {
     @TempDir
@@ -39,7 +39,7 @@
         endpoint = new StubServer((in, out) -> {
             endpointOutputs.add(out);
             while (true) {
-                String id = StubServer.command(in).get(2);
+                String id = StubServer.readCommand(in).get(2);
                 receivedIds.add(id);
                 if (id.equals("next")) {
                     StubServer.write(out, "*1\r\n$4\r\nnext\r\n");
@@ -55,9 +55,11 @@
         endpoint.close();
     }
 
-    /** Blocks the event loop while the client sends its input and closes, then runs {@code then} on the late loop. */
-    private void sendAndCloseWhileLoopIsHeld(Client client, String input, Runnable then) throws Exception {
-        gateway.holdWhile(
+    /**
+     * Blocks the event loop while the client sends its input and closes, then runs {@code then} on the delayed loop.
+     */
+    private void sendAndCloseWhileLoopIsBlocked(Client client, String input, Runnable then) throws Exception {
+        gateway.blockLoopDuring(
                 () -> {
                     client.write(input);
                     client.close();
@@ -66,11 +68,14 @@
                 then);
     }
 
-    /** Sends a request of a client that stays; whatever was to reach an endpoint before it has done so afterwards. */
+    /**
+     * Sends a request from a client that stays connected. When it returns, all earlier attempts have reached their
+     * endpoints.
+     */
     private void sendFollowUpRequest() throws Exception {
         try (Client client = new Client(gateway.port())) {
             client.write(InProcessGateway.request("next"));
-            assertEquals("next", StubServer.resp(client.in));
+            assertEquals("next", StubServer.readResp(client.in));
         }
     }
 
@@ -78,8 +83,8 @@
     @Test
     void requestsReadTogetherWithTheCloseAreNotStarted() throws Exception {
         Client client = new Client(gateway.port());
-        assertEquals("+PONG", client.ask("PING"));
-        sendAndCloseWhileLoopIsHeld(
+        assertEquals("+PONG", client.call("PING"));
+        sendAndCloseWhileLoopIsBlocked(
                 client,
                 InProcessGateway.request("1") + InProcessGateway.request("2") + InProcessGateway.request("3"),
                 () -> {});
@@ -88,18 +93,18 @@
         assertEquals(1, gateway.startedAttempts.size(), "none of them was started");
     }
 
-    /** A busy event loop may start a retry before it has read the client's close. */
+    /** A delayed event loop must not start a retry before it has read the client's close. */
     @Test
-    void retryByLateLoopWaitsUntilClosesAreRead() throws Exception {
+    void retryOnDelayedLoopWaitsUntilDisconnectsAreRead() throws Exception {
         Client client = new Client(gateway.port());
-        for (String id : new String[] {"a", "b"}) { // at once: one to each endpoint, which opens a connection to each
+        for (String id : new String[] {"a", "b"}) { // concurrently, so that a connection to each endpoint is opened
             client.write(InProcessGateway.request(id));
         }
-        GatewayProcess.until("both are in flight", () -> receivedIds.size() == 2);
+        GatewayProcess.awaitCondition("both are in flight", () -> receivedIds.size() == 2);
         for (int i = 0; i < 2; i++) {
             gateway.startedAttempts.poll(20, TimeUnit.SECONDS);
             StubServer.write(endpointOutputs.get(i), "*1\r\n$5\r\nvalue\r\n");
-            assertEquals("value", StubServer.resp(client.in));
+            assertEquals("value", StubServer.readResp(client.in));
         }
         gateway.clock.step(50); // the quiet period of both connections has passed
         for (int i = 0; i < 3; i++) {
@@ -107,52 +112,53 @@
         }
         client.write(InProcessGateway.request("1"));
         Attempt first = gateway.startedAttempts.poll(20, TimeUnit.SECONDS);
-        GatewayProcess.until("it is in flight", () -> receivedIds.contains("1"));
-        sendAndCloseWhileLoopIsHeld(client, "", () -> gateway.requests().attemptEnded(first, Outcome.REJECTED, null));
+        GatewayProcess.awaitCondition("it is in flight", () -> receivedIds.contains("1"));
+        sendAndCloseWhileLoopIsBlocked(
+                client, "", () -> gateway.requests().attemptEnded(first, Outcome.REJECTED, null));
         sendFollowUpRequest();
         assertEquals(1, receivedIds.stream().filter("1"::equals).count(), "its second attempt has reached no endpoint");
-        assertEquals(2, endpoint.connections(), "on either of the existing connections");
+        assertEquals(2, endpoint.openConnections(), "and no further connection was opened");
     }
 
-    /** A client's close must be noticed while the gateway processes no more of its input. */
+    /** A client's close must be detected while the gateway does not process more of its input. */
     @Test
-    void closeIsNoticedWhileInputIsNotProcessed() throws Exception {
+    void disconnectIsDetectedWhileInputIsNotProcessed() throws Exception {
         Client client = new Client(gateway.port());
-        StringBuilder many = new StringBuilder();
+        StringBuilder pipeline = new StringBuilder();
         for (int i = 0; i < 700; i++) {
-            many.append(InProcessGateway.request("a" + i));
+            pipeline.append(InProcessGateway.request("a" + i));
         }
-        client.write(many.toString());
+        client.write(pipeline.toString());
         Attempt first = gateway.startedAttempts.poll(20, TimeUnit.SECONDS);
-        for (int pass = 0; pass < 100; pass++) { // each pass of the event loop processes some requests, until the limit
-            EventLoopTasks.awaitPass(gateway.loop());
+        for (int pass = 0; pass < 100; pass++) { // each iteration processes some requests, up to the limit
+            EventLoopTasks.awaitIteration(gateway.loop());
         }
         client.close();
         assertTrue(
                 gateway.abandonedAttempts.poll(5, TimeUnit.SECONDS) != null,
                 "attempt " + first.number() + " is abandoned");
-        GatewayProcess.until(
-                "nothing is left",
+        GatewayProcess.awaitCondition(
+                "no request is open",
                 () -> EventLoopTasks.call(
                         gateway.loop(), () -> gateway.requests().openRequests() == 0));
     }
 
     /** A request that waits for a connection to an endpoint must not be sent after its client has closed. */
     @Test
-    void attemptWaitingForConnectionIsNotSentAfterClose() throws Exception {
+    void attemptWaitingForConnectionIsNotSentAfterDisconnect() throws Exception {
         Client client = new Client(gateway.port());
-        CompletableFuture<Void> held = new CompletableFuture<>();
-        CompletableFuture<Void> closed = new CompletableFuture<>();
+        CompletableFuture<Void> loopBlocked = new CompletableFuture<>();
+        CompletableFuture<Void> clientClosed = new CompletableFuture<>();
         gateway.onStarted = () -> {
             gateway.onStarted = () -> {};
-            held.complete(null);
-            closed.join();
+            loopBlocked.complete(null);
+            clientClosed.join();
             gateway.clock.step(200);
         };
         client.write(InProcessGateway.request("1"));
-        held.get(20, TimeUnit.SECONDS);
+        loopBlocked.get(20, TimeUnit.SECONDS);
         client.close();
-        closed.complete(null);
+        clientClosed.complete(null);
         sendFollowUpRequest();
         assertEquals(List.of("next"), receivedIds);
     }
--- a/gateway/src/test/java/stonelb/gateway/ConfigurationReloadTest.java
+++ b/gateway/src/test/java/stonelb/gateway/ConfigurationReloadTest.java
@@ -20,19 +20,19 @@
 import stonelb.standins.StubPlatform;
 import stonelb.standins.StubServer;
 
-/** Reloads of a configuration that is replaced under load. */
+/** Tests reloads of the configuration while requests are served. */
 class ConfigurationReloadTest {
     @TempDir
     Path folder;
 
     private int requestCount;
 
-    /** Sends a request of a new customer, so that the quota counter is called for it. */
+    /** Sends a request of a new customer, which causes a call to the quota counter. */
     private void expectServed(Client client) throws Exception {
         String number = Integer.toHexString(++requestCount);
         assertEquals(
                 "echo x",
-                client.ask(
+                client.call(
                         "Q.ASK",
                         "0".repeat(16 - number.length()) + number,
                         number,
@@ -40,148 +40,150 @@
                         "x"));
     }
 
-    private void replace(String config, GatewayProcess program) throws Exception {
+    private void replaceConfigAndHangUp(String config, GatewayProcess program) throws Exception {
         Files.writeString(folder.resolve("new.json"), config);
         Files.move(folder.resolve("new.json"), folder.resolve("config.json"), StandardCopyOption.ATOMIC_MOVE);
-        program.hangUp();
+        program.sendSighup();
     }
 
     @Test
     void discoveryAndCounterMigrateUnderLoadAndInvalidFilesChangeNothing() throws Exception {
         try (StubPlatform previous = new StubPlatform();
                 StubPlatform current = new StubPlatform()) {
-            String config = previous.config("127.0.0.1:0", GatewayProcess.FIVE);
+            String config = previous.config("127.0.0.1:0", GatewayProcess.FIVE_UNIT_PLAN);
             try (GatewayProcess program = new GatewayProcess(folder, config, null);
                     Client client = new Client(program.port("RESP2 requests"))) {
                 expectServed(client);
-                replace("{\"listen\":5", program);
-                GatewayProcess.until(
-                        "the invalid file is logged", () -> program.line("configuration rejected") != null);
-                replace(config.replace(previous.counter.address(), "nowhere"), program);
-                GatewayProcess.until(
+                replaceConfigAndHangUp("{\"listen\":5", program);
+                GatewayProcess.awaitCondition(
+                        "the invalid file is logged", () -> program.firstLogLine("configuration rejected") != null);
+                replaceConfigAndHangUp(config.replace(previous.counter.address(), "nowhere"), program);
+                GatewayProcess.awaitCondition(
                         "the invalid address is logged",
                         () -> program.log().stream()
-                                        .filter(l -> l.contains("configuration rejected"))
+                                        .filter(line -> line.contains("configuration rejected"))
                                         .count()
                                 == 2);
                 expectServed(client);
-                assertTrue(previous.ran.size() == 2 && !previous.added.isEmpty());
+                assertTrue(previous.executedRequests.size() == 2 && !previous.counterCalls.isEmpty());
 
-                // Its connection is in use while the endpoint's address changes, and must not be used again.
-                client.command(
+                // The endpoint's address changes while this request uses a connection, which must not be reused then.
+                client.sendCommand(
                         "Q.ASK",
                         "0000000000000001",
                         "slow",
                         "c=read,t=five,d=9000,units=1,spread=1,first=0",
                         "slow 1000");
-                replace(
+                replaceConfigAndHangUp(
                         config.replace(previous.discovery.address(), current.discovery.address())
                                 .replace(previous.counter.address(), current.counter.address()),
                         program);
                 try (Client other = new Client(program.port("RESP2 requests"))) {
-                    GatewayProcess.until("the new endpoint list is in use", () -> {
+                    GatewayProcess.awaitCondition("the new endpoint list is in use", () -> {
                         try {
                             expectServed(other);
                         } catch (Exception e) {
-                            throw new AssertionError("a request was lost meanwhile", e);
+                            throw new AssertionError("a request failed during the reload", e);
                         }
-                        return program.line("discovery migrated") != null;
+                        return program.firstLogLine("discovery migrated") != null;
                     });
                 }
-                assertEquals("echo slow 1000", StubServer.resp(client.in));
+                assertEquals("echo slow 1000", StubServer.readResp(client.in));
                 previous.discovery.close();
                 previous.counter.close();
-                int ranThere = current.ran.size();
+                int executedByCurrent = current.executedRequests.size();
                 for (int i = 0; i < 20; i++) {
                     expectServed(client);
                 }
-                assertEquals(ranThere + 20, current.ran.size(), "the new discovery's list is used");
-                GatewayProcess.until("the new counter is called", () -> !current.added.isEmpty());
-                assertNull(program.line("discovery unavailable"));
-                assertNull(program.line("quota counter unreachable"));
-                assertNull(program.line("internal error"));
+                assertEquals(
+                        executedByCurrent + 20, current.executedRequests.size(), "the new discovery's list is used");
+                GatewayProcess.awaitCondition("the new counter is called", () -> !current.counterCalls.isEmpty());
+                assertNull(program.firstLogLine("discovery unavailable"));
+                assertNull(program.firstLogLine("quota counter unreachable"));
+                assertNull(program.firstLogLine("internal error"));
 
-                program.hangUp();
-                program.terminate();
+                program.sendSighup();
+                program.sendSigterm();
                 expectServed(client);
-                assertTrue(program.ended(20_000));
-                assertTrue(program.line("graceful shutdown complete") != null);
+                assertTrue(program.awaitExit(20_000));
+                assertTrue(program.firstLogLine("graceful shutdown complete") != null);
             }
         }
     }
 
-    /** The last of several configurations is the one in use, and no request is lost on the way there. */
+    /** After several reloads in quick succession the last configuration is in use, and no request has failed. */
     @Test
-    void configurationsInQuickSuccessionEndWithTheLast() throws Exception {
+    void lastOfRapidReloadsIsInUse() throws Exception {
         try (StubPlatform first = new StubPlatform();
                 StubPlatform last = new StubPlatform()) {
-            String config = first.config("127.0.0.1:0", GatewayProcess.FIVE);
+            String config = first.config("127.0.0.1:0", GatewayProcess.FIVE_UNIT_PLAN);
             String lastConfig = config.replace(first.discovery.address(), last.discovery.address())
                     .replace(first.counter.address(), last.counter.address());
             try (GatewayProcess program = new GatewayProcess(folder, config, null);
                     Client client = new Client(program.port("RESP2 requests"))) {
                 for (int i = 0; i < 11; i++) {
-                    replace(i % 2 == 0 ? lastConfig : config, program);
+                    replaceConfigAndHangUp(i % 2 == 0 ? lastConfig : config, program);
                     expectServed(client);
                 }
-                GatewayProcess.until("the last configuration is in use", () -> {
-                    int ranThere = last.ran.size();
+                GatewayProcess.awaitCondition("the last configuration is in use", () -> {
+                    int executedByCurrent = last.executedRequests.size();
                     expectServed(client);
-                    return last.ran.size() > ranThere;
+                    return last.executedRequests.size() > executedByCurrent;
                 });
-                int ranBefore = first.ran.size();
+                int executedByFirst = first.executedRequests.size();
                 for (int i = 0; i < 20; i++) {
                     expectServed(client);
                 }
-                assertEquals(ranBefore, first.ran.size());
-                assertNull(program.line("internal error"));
+                assertEquals(executedByFirst, first.executedRequests.size());
+                assertNull(program.firstLogLine("internal error"));
             }
         }
     }
 
-    /** Under nohup SIGHUP is ignored: this is logged, and a replaced file is read all the same. */
+    /** Under nohup SIGHUP is ignored: the gateway logs this and polls for a replaced file instead. */
     @Test
     void processIgnoringSighupLogsItAndReloadsReplacedFile() throws Exception {
         try (StubPlatform previous = new StubPlatform();
                 StubPlatform current = new StubPlatform()) {
-            String config = previous.config("127.0.0.1:0", GatewayProcess.FIVE);
-            try (GatewayProcess program = GatewayProcess.deaf(folder, config);
+            String config = previous.config("127.0.0.1:0", GatewayProcess.FIVE_UNIT_PLAN);
+            try (GatewayProcess program = GatewayProcess.ignoringSighup(folder, config);
                     Client client = new Client(program.port("RESP2 requests"))) {
-                assertTrue(program.line("SIGHUP is ignored by this process") != null);
+                assertTrue(program.firstLogLine("SIGHUP is ignored by this process") != null);
                 expectServed(client);
-                replace("{\"listen\":5", program);
-                GatewayProcess.until(
-                        "the invalid file is logged", () -> program.line("configuration rejected") != null);
-                replace(config.replace(previous.discovery.address(), current.discovery.address()), program);
-                GatewayProcess.until(
-                        "the new endpoint list is in use", () -> program.line("discovery migrated") != null);
+                replaceConfigAndHangUp("{\"listen\":5", program);
+                GatewayProcess.awaitCondition(
+                        "the invalid file is logged", () -> program.firstLogLine("configuration rejected") != null);
+                replaceConfigAndHangUp(
+                        config.replace(previous.discovery.address(), current.discovery.address()), program);
+                GatewayProcess.awaitCondition(
+                        "the new endpoint list is in use", () -> program.firstLogLine("discovery migrated") != null);
                 expectServed(client);
-                assertEquals(1, current.ran.size());
+                assertEquals(1, current.executedRequests.size());
                 assertEquals(
                         1,
                         program.log().stream()
-                                .filter(l -> l.contains("configuration rejected"))
+                                .filter(line -> line.contains("configuration rejected"))
                                 .count());
             }
         }
     }
 
-    /** An internal error during one reload must not end later ones. */
+    /** An exception during one reload must not end the reload thread. */
     @Test
     void internalErrorIsLoggedAndNextReloadIsApplied() throws Exception {
         try (StubPlatform platform = new StubPlatform()) {
             Path file = folder.resolve("config.json");
-            Files.writeString(file, platform.config("127.0.0.1:0", GatewayProcess.FIVE));
+            Files.writeString(file, platform.config("127.0.0.1:0", GatewayProcess.FIVE_UNIT_PLAN));
             ConfigurationReloader reloader =
                     new ConfigurationReloader(new RateLimitedLog(), Map.of("PROXY_CONFIG", file.toString()));
             SynchronousQueue<String> appliedNames = new SynchronousQueue<>();
             AtomicInteger reloads = new AtomicInteger();
-            reloader.start(c -> {
+            reloader.start(configuration -> {
                 if (reloads.incrementAndGet() == 1) {
-                    throw new IllegalStateException("planted");
+                    throw new IllegalStateException("injected failure");
                 }
                 try {
-                    appliedNames.put(c.name());
+                    appliedNames.put(configuration.name());
                 } catch (InterruptedException e) {
                     throw new IllegalStateException(e);
                 }
@@ -189,7 +191,7 @@
             for (int i = 0; i < 2; i++) {
                 int before = reloads.get();
                 reloader.invoke(null, handlerMethod("handle"), new Object[0]);
-                GatewayProcess.until("the file was read", () -> reloads.get() > before);
+                GatewayProcess.awaitCondition("the file was read", () -> reloads.get() > before);
             }
             assertEquals("n0", appliedNames.poll(10, TimeUnit.SECONDS));
         }
--- a/gateway/src/test/java/stonelb/gateway/DiscoveryWatchTest.java
+++ b/gateway/src/test/java/stonelb/gateway/DiscoveryWatchTest.java
@@ -20,7 +20,7 @@
 import stonelb.standins.StubPlatform;
 import stonelb.standins.StubServer;
 
-/** The watch on a discovery that fails or is overloaded. */
+/** Tests the watch on a discovery service that fails or is overloaded. */
 class DiscoveryWatchTest {
     @TempDir
     Path folder;
@@ -28,11 +28,12 @@
     private final List<String> discoveryTargets = new CopyOnWriteArrayList<>();
     private volatile String watchResponse;
 
-    private void session(InputStream in, OutputStream out) throws IOException, InterruptedException {
+    private void serveDiscovery(InputStream in, OutputStream out) throws IOException, InterruptedException {
         while (true) {
-            String target = StubServer.http(in).target();
+            String target = StubServer.readHttp(in).target();
             discoveryTargets.add(target);
-            StubServer.write(out, target.contains("index=") ? watchResponse : StubServer.httpAnswer(200, "", snapshot));
+            StubServer.write(
+                    out, target.contains("index=") ? watchResponse : StubServer.httpResponse(200, "", snapshot));
             Thread.sleep(20);
         }
     }
@@ -40,34 +41,34 @@
     private String snapshot;
 
     private static String emptyDelta(int index) {
-        return StubServer.httpAnswer(200, "", "{\"index\":" + index + ",\"snapshot\":false,\"endpoints\":[]}");
+        return StubServer.httpResponse(200, "", "{\"index\":" + index + ",\"snapshot\":false,\"endpoints\":[]}");
     }
 
     @Test
     void failedWatchRestartsWithSnapshotWhileLastListIsUsed() throws Exception {
         try (StubPlatform platform = new StubPlatform();
-                StubServer discovery = new StubServer(this::session)) {
-            snapshot = platform.list();
-            for (String bad : List.of(
-                    StubServer.httpAnswer(410, "", "gone"),
-                    StubServer.httpAnswer(200, "", "{nonsense"),
-                    StubServer.httpAnswer(200, "", "{\"endpoints\":[{\"name\":5}]}"),
+                StubServer discovery = new StubServer(this::serveDiscovery)) {
+            snapshot = platform.endpointList();
+            for (String invalidResponse : List.of(
+                    StubServer.httpResponse(410, "", "gone"),
+                    StubServer.httpResponse(200, "", "{nonsense"),
+                    StubServer.httpResponse(200, "", "{\"endpoints\":[{\"name\":5}]}"),
                     "garbage\r\n\r\n")) {
                 discoveryTargets.clear();
-                watchResponse = bad;
-                String config = platform.config("127.0.0.1:0", GatewayProcess.OPEN)
+                watchResponse = invalidResponse;
+                String config = platform.config("127.0.0.1:0", GatewayProcess.UNLIMITED_PLAN)
                         .replace(platform.discovery.address(), discovery.address());
                 try (GatewayProcess program = new GatewayProcess(folder, config, null);
                         Client client = new Client(program.port("RESP2 requests"))) {
-                    GatewayProcess.until(
-                            "it requests a snapshot again",
+                    GatewayProcess.awaitCondition(
+                            "the gateway requests a snapshot again",
                             () -> discoveryTargets.stream()
-                                            .filter(c -> c.equals("/catalog/members"))
+                                            .filter(requested -> requested.equals("/catalog/members"))
                                             .count()
                                     >= 3);
                     assertEquals(
                             "echo x",
-                            client.ask(
+                            client.call(
                                     "Q.ASK",
                                     "0000000000000001",
                                     "2",
@@ -75,37 +76,37 @@
                                     "x"));
                     watchResponse = emptyDelta(0);
                     int before = discoveryTargets.size();
-                    GatewayProcess.until("the watch continues", () -> discoveryTargets.size() > before + 10);
+                    GatewayProcess.awaitCondition("the watch continues", () -> discoveryTargets.size() > before + 10);
                     assertTrue(
                             discoveryTargets.get(discoveryTargets.size() - 1).contains("index=0&wait="),
                             discoveryTargets.toString());
-                    assertEquals(null, program.line("internal error"));
+                    assertEquals(null, program.firstLogLine("internal error"));
                 }
             }
         }
     }
 
-    /** Gateways must not keep an overloaded discovery overloaded by requesting snapshots. */
+    /** Snapshot requests must not add load to an overloaded discovery. */
     @Test
     void overloadedDiscoveryIsPolledForDeltasOnly() throws Exception {
         try (StubPlatform platform = new StubPlatform();
-                StubServer discovery = new StubServer(this::session)) {
-            snapshot = platform.list();
-            watchResponse = StubServer.httpAnswer(503, "", "busy");
-            String config = platform.config("127.0.0.1:0", GatewayProcess.OPEN)
+                StubServer discovery = new StubServer(this::serveDiscovery)) {
+            snapshot = platform.endpointList();
+            watchResponse = StubServer.httpResponse(503, "", "busy");
+            String config = platform.config("127.0.0.1:0", GatewayProcess.UNLIMITED_PLAN)
                     .replace(platform.discovery.address(), discovery.address());
             try (GatewayProcess program = new GatewayProcess(folder, config, null);
                     Client client = new Client(program.port("RESP2 requests"))) {
-                GatewayProcess.until("it polls again", () -> discoveryTargets.size() >= 4);
+                GatewayProcess.awaitCondition("the gateway polls again", () -> discoveryTargets.size() >= 4);
                 assertEquals(
                         List.of(),
                         discoveryTargets.stream()
                                 .skip(1)
-                                .filter(c -> !c.contains("index="))
+                                .filter(requested -> !requested.contains("index="))
                                 .toList());
                 assertEquals(
                         "echo x",
-                        client.ask(
+                        client.call(
                                 "Q.ASK",
                                 "0000000000000001",
                                 "2",
@@ -115,7 +116,7 @@
         }
     }
 
-    /** From the start on, no request may go to an endpoint that discovery reports as draining. */
+    /** Even the first request must not go to an endpoint that discovery reports as draining. */
     @Test
     void gatewayDoesNotListenBeforeFirstDiscoveryResponse() throws Exception {
         BlockingQueue<GatewayProcess> started = new LinkedBlockingQueue<>();
@@ -124,40 +125,42 @@
                 StubServer discovery = new StubServer((in, out) -> {
                     GatewayProcess program = null;
                     while (true) {
-                        boolean first = StubServer.http(in).target().endsWith("wait=1");
+                        boolean isFirst = StubServer.readHttp(in).target().endsWith("wait=1");
                         program = program == null ? started.take() : program;
                         for (int i = 0;
-                                i < 10 && first && prematureLogLines.isEmpty();
-                                i++) { // long enough for it to have started listening
-                            String line = program.line(" listens for ");
+                                i < 10 && isFirst && prematureLogLines.isEmpty();
+                                i++) { // long enough for a premature listen to be logged
+                            String line = program.firstLogLine(" listens for ");
                             prematureLogLines.addAll(line == null ? List.of() : List.of(line));
                             Thread.sleep(10);
                         }
                         StubServer.write(
                                 out,
-                                StubServer.httpAnswer(
+                                StubServer.httpResponse(
                                         200,
                                         "",
-                                        first ? platform.list().replace("in_service", "terminating") : snapshot));
+                                        isFirst
+                                                ? platform.endpointList().replace("in_service", "terminating")
+                                                : snapshot));
                     }
                 })) {
             snapshot = emptyDelta(0).replace("\"index\":0", "\"index\":5");
-            String config = platform.config("127.0.0.1:0", GatewayProcess.OPEN)
+            String config = platform.config("127.0.0.1:0", GatewayProcess.UNLIMITED_PLAN)
                     .replace(platform.discovery.address(), discovery.address());
             try (GatewayProcess program = new GatewayProcess(folder, config, null)) {
                 started.add(program);
                 try (Client client = new Client(program.port("RESP2 requests"))) {
                     assertEquals(List.of(), prematureLogLines);
                     assertTrue(
-                            client.ask(
+                            client.call(
                                             "Q.ASK",
                                             "0000000000000001",
                                             "2",
                                             "c=read,t=open,d=900,units=1,spread=1,first=0",
                                             "x")
                                     .startsWith("-BUSY"),
-                            "it knows that its endpoint is draining");
-                    assertEquals(List.of(), platform.ran);
+                            "the draining endpoint gets no request");
+                    assertEquals(List.of(), platform.executedRequests);
                 }
             }
         }
@@ -172,23 +175,26 @@
         try (StubPlatform platform = new StubPlatform();
                 StubServer discovery = new StubServer((in, out) -> {
                     while (true) {
-                        StubServer.http(in);
+                        StubServer.readHttp(in);
                         if (!recovered.isDone()) {
-                            in.read(); // silent until the watch times out
+                            in.read(); // no response until the watch times out
                             return;
                         }
                         StubServer.write(
                                 out,
-                                StubServer.httpAnswer(200, "", platform.list().replace("\"index\":0", "\"index\":9")));
+                                StubServer.httpResponse(
+                                        200, "", platform.endpointList().replace("\"index\":0", "\"index\":9")));
                         Thread.sleep(20);
                     }
                 });
                 StubServer unreachable = new StubServer((in, out) -> {})) {
-            String config = platform.config("127.0.0.1:0", GatewayProcess.FIVE)
+            String config = platform.config("127.0.0.1:0", GatewayProcess.FIVE_UNIT_PLAN)
                     .replace(platform.discovery.address(), discovery.address())
                     .replace("\"sockets\":1024", "\"sockets\":" + descriptors)
-                    .replace(platform.list(), platform.list().replace(platform.resp.address(), unreachable.address()));
-            try (GatewayProcess program = GatewayProcess.limited(folder, config, descriptors)) {
+                    .replace(
+                            platform.endpointList(),
+                            platform.endpointList().replace(platform.resp.address(), unreachable.address()));
+            try (GatewayProcess program = GatewayProcess.withDescriptorLimit(folder, config, descriptors)) {
                 int port = program.port("RESP2 requests");
                 for (int i = 0; i < 2 * descriptors; i++) {
                     Client client = new Client(port);
@@ -199,24 +205,26 @@
                         // closed by the gateway already
                     }
                 }
-                GatewayProcess.until("the watch times out", () -> program.line("discovery unavailable") != null);
+                GatewayProcess.awaitCondition(
+                        "the watch times out", () -> program.firstLogLine("discovery unavailable") != null);
                 recovered.complete(null);
-                GatewayProcess.until("it uses the endpoints that discovery reports now", () -> {
-                    try (Client client = new Client(port)) {
-                        return "echo x"
-                                .equals(client.ask(
-                                        "Q.ASK",
-                                        "0000000000000001",
-                                        "2",
-                                        "c=read,t=five,d=900,units=1,spread=1,first=0",
-                                        "x"));
-                    } catch (IOException e) {
-                        return false; // closed by the gateway
-                    }
-                });
-                GatewayProcess.until(
-                        "the counter is reached",
-                        () -> !platform.added.isEmpty()); // the call may be made after the response
+                GatewayProcess.awaitCondition(
+                        "the gateway uses the endpoints that discovery reports after its recovery", () -> {
+                            try (Client client = new Client(port)) {
+                                return "echo x"
+                                        .equals(client.call(
+                                                "Q.ASK",
+                                                "0000000000000001",
+                                                "2",
+                                                "c=read,t=five,d=900,units=1,spread=1,first=0",
+                                                "x"));
+                            } catch (IOException e) {
+                                return false; // closed by the gateway
+                            }
+                        });
+                GatewayProcess.awaitCondition(
+                        "the counter is called",
+                        () -> !platform.counterCalls.isEmpty()); // the call may follow the response
             }
         } finally {
             for (Client client : idleClients) {
--- a/gateway/src/test/java/stonelb/gateway/EndpointListPropagationTest.java
+++ b/gateway/src/test/java/stonelb/gateway/EndpointListPropagationTest.java
@@ -31,9 +31,9 @@
 import stonelb.standins.StubServer;
 
 /**
- * A change in discovery must reach the gateway within 6 s, whichever way single calls fail. Runs on a clock that the test
- * moves in small steps, so that all timeouts and backoffs of the watch pass in a moment. The wall clock steps by two hours
- * at each reading, which no timeout may notice.
+ * A change in discovery must reach the gateway within 6 s, however single calls to discovery fail. The test advances
+ * the clock in small steps, so that timeouts and backoffs of the watch pass quickly. The wall clock jumps by two
+ * hours at each reading, which must not affect any timeout.
  */
 class EndpointListPropagationTest {
     private static final double PROPAGATION_LIMIT_MS = 6000;
@@ -41,7 +41,7 @@
     private static final double HOUR_MS = 3_600_000;
     private static final int GATEWAYS = 200;
 
-    /** How a call to discovery fails. */
+    /** The ways in which a call to discovery fails. */
     private enum ResponseFault {
         SILENT,
         TRUNCATED,
@@ -55,8 +55,10 @@
 
     private volatile double clock = 1_000_000;
     private volatile boolean draining; // the change to propagate
-    private final Deque<ResponseFault> faults = new ArrayDeque<>(); // of the next calls; those after them succeed
-    private final Queue<Integer> remainingFaults = new ConcurrentLinkedQueue<>(); // how many calls are left to fail
+    private final Deque<ResponseFault> faults =
+            new ArrayDeque<>(); // one for each of the next calls; later calls succeed
+    private final Queue<Integer> remainingFaults =
+            new ConcurrentLinkedQueue<>(); // number of calls that are still to fail, after each call
     private final Queue<EndpointState> reportedStates = new ConcurrentLinkedQueue<>();
     private final Semaphore events = new Semaphore(0);
     private boolean wallClockAhead;
@@ -67,7 +69,7 @@
         loop.shutdown();
     }
 
-    /** An hour ahead of the loop's clock or behind it, in turn. */
+    /** Returns a time alternately an hour ahead of the loop's clock and an hour behind it. */
     private double steppingWallClock() {
         wallClockAhead = !wallClockAhead;
         return clock + (wallClockAhead ? HOUR_MS : -HOUR_MS);
@@ -87,22 +89,22 @@
         }
     }
 
-    private void session(InputStream in, OutputStream out) throws IOException, InterruptedException {
+    private void serveDiscovery(InputStream in, OutputStream out) throws IOException, InterruptedException {
         while (true) {
-            String target = StubServer.http(in).target();
+            String target = StubServer.readHttp(in).target();
             ResponseFault fault = nextFault();
-            String completeResponse = StubServer.httpAnswer(200, "", endpointListJson());
+            String completeResponse = StubServer.httpResponse(200, "", endpointListJson());
             if (fault == null) {
                 int waitMs = target.contains("wait=") ? Integer.parseInt(target.replaceAll(".*wait=", "")) : 0;
                 boolean wasDraining = draining;
-                for (double until = clock + waitMs; clock < until && wasDraining == draining; ) {
+                for (double end = clock + waitMs; clock < end && wasDraining == draining; ) {
                     awaitClockStep();
                 }
-                StubServer.write(out, StubServer.httpAnswer(200, "", endpointListJson()));
+                StubServer.write(out, StubServer.httpResponse(200, "", endpointListJson()));
                 continue;
             }
             switch (fault) {
-                case SILENT -> in.read(); // until the watch closes the connection
+                case SILENT -> in.read(); // returns when the watch closes the connection
                 case TRUNCATED -> {
                     StubServer.write(out, completeResponse.substring(0, completeResponse.length() / 2));
                     in.read();
@@ -114,20 +116,23 @@
                         StubServer.write(out, " ");
                     }
                 }
-                case RESET -> throw new IOException("the end of the session ends the connection");
-                case UNAVAILABLE -> StubServer.write(out, StubServer.httpAnswer(503, "", "busy"));
-                case GONE -> StubServer.write(out, StubServer.httpAnswer(410, "", "gone"));
+                case RESET -> throw new IOException("closes the connection");
+                case UNAVAILABLE -> StubServer.write(out, StubServer.httpResponse(503, "", "busy"));
+                case GONE -> StubServer.write(out, StubServer.httpResponse(410, "", "gone"));
                 case MALFORMED -> StubServer.write(out, "garbage\r\n\r\n");
                 default -> StubServer.write(out, completeResponse + completeResponse);
             }
         }
     }
 
-    /** Moves the clock until the condition holds, with time for the sockets in each step; returns the time it took. */
-    private double elapsedUntil(BooleanSupplier condition) throws Exception {
-        double from = clock;
+    /**
+     * Advances the clock until the condition holds, with a short wait for socket I/O at each step; returns the
+     * elapsed time.
+     */
+    private double advanceUntil(BooleanSupplier condition) throws Exception {
+        double startedAt = clock;
         while (!condition.getAsBoolean()) {
-            assertTrue(clock < from + 120_000, "waited in vain");
+            assertTrue(clock < startedAt + 120_000, "timed out");
             synchronized (this) {
                 clock += STEP_MS;
                 notifyAll();
@@ -135,50 +140,56 @@
             EventLoopTasks.run(loop, () -> loop.timers().runDue());
             events.tryAcquire(4, TimeUnit.MILLISECONDS);
         }
-        return clock - from;
+        return clock - startedAt;
     }
 
-    /** Waits until the clock moves. */
+    /** Waits until the clock is advanced. */
     private synchronized void awaitClockStep() throws InterruptedException {
         for (double now = clock; now == clock; ) {
             wait();
         }
     }
 
-    /** Makes the change while the last of {@code times} calls fails; returns the time until the gateway learns of it. */
-    private double propagationDelayAfter(ResponseFault fault, int times, boolean shared) throws Exception {
+    /**
+     * Makes the change once the last of the failing calls has arrived; returns the time until the gateway applies it.
+     */
+    private double propagationDelayAfter(ResponseFault fault, int failedCalls, boolean shared) throws Exception {
         draining = false;
         remainingFaults.clear();
         reportedStates.clear();
         loop = new EventLoop(new RateLimitedLog(line -> {}), () -> clock);
-        try (StubServer discovery = new StubServer(this::session)) {
+        try (StubServer discovery = new StubServer(this::serveDiscovery)) {
             EndpointList endpointList = new EndpointList(
                     List.of(),
                     new EndpointStartTimes(() -> clock, this::steppingWallClock),
-                    (mode, list) -> {
-                        list.forEach(s -> reportedStates.add(s.state()));
+                    (type, endpoints) -> {
+                        endpoints.forEach(endpoint -> reportedStates.add(endpoint.state()));
                         events.release();
                     },
                     new AddressListener() {
                         @Override
                         public void addressChanged(
-                                long server, String name, InetSocketAddress at, boolean ready, double since) {}
+                                long endpointId,
+                                String name,
+                                InetSocketAddress address,
+                                boolean ready,
+                                double startedAtMs) {}
 
                         @Override
-                        public void retainOnly(Set<Long> servers) {}
+                        public void retainOnly(Set<Long> endpointIds) {}
                     });
             DecisionSettings settings =
                     new DecisionSettings(GATEWAYS, List.of(), List.of(), null, null, null, 2, shared, false, 1);
             loop.execute(() -> new DiscoveryClient(loop, new RateLimitedLog(line -> {}), endpointList, settings, 3)
                     .start(new InetSocketAddress(InetAddress.getLoopbackAddress(), discovery.port()), () -> {}));
-            elapsedUntil(() -> reportedStates.contains(EndpointState.READY));
+            advanceUntil(() -> reportedStates.contains(EndpointState.READY));
             synchronized (faults) {
-                faults.addAll(Collections.nCopies(times, fault));
+                faults.addAll(Collections.nCopies(failedCalls, fault));
             }
             remainingFaults.clear();
-            elapsedUntil(() -> remainingFaults.contains(0));
+            advanceUntil(() -> remainingFaults.contains(0));
             draining = true;
-            return elapsedUntil(() -> reportedStates.contains(EndpointState.DRAINING));
+            return advanceUntil(() -> reportedStates.contains(EndpointState.DRAINING));
         } finally {
             loop.shutdown();
         }
@@ -196,7 +207,7 @@
         }
     }
 
-    /** A backoff that grew in an outage must not delay the change after it. */
+    /** A backoff that grew during an outage must not delay the next change. */
     @Test
     void changePropagatesInTimeAfterLongOutage() throws Exception {
         for (ResponseFault fault : List.of(ResponseFault.SILENT, ResponseFault.UNAVAILABLE)) {
--- a/gateway/src/test/java/stonelb/gateway/ExampleTest.java
+++ b/gateway/src/test/java/stonelb/gateway/ExampleTest.java
@@ -15,7 +15,7 @@
 import stonelb.standins.GatewayProcess.Client;
 import stonelb.standins.StubServer;
 
-/** The files of the examples folder work as they are, with other ports. */
+/** Runs the gateway with the files of the examples folder; only the ports are replaced. */
 class ExampleTest {
     @TempDir
     Path folder;
@@ -45,14 +45,14 @@
                     .replace("8081", httpAddress.substring(httpAddress.indexOf(':') + 1));
             try (GatewayProcess program = new GatewayProcess(folder, config, openApi)) {
                 try (Client client = new Client(program.port("RESP2 requests"))) {
-                    GatewayProcess.until("it is ready", () -> {
+                    GatewayProcess.awaitCondition("the gateway is ready", () -> {
                         try {
-                            return client.ask("PING").equals("+PONG");
+                            return client.call("PING").equals("+PONG");
                         } catch (IOException e) {
                             return false;
                         }
                     });
-                    assertTrue(client.ask(
+                    assertTrue(client.call(
                                     "Q.ASK",
                                     "00000000b4d65521",
                                     "1",
@@ -60,10 +60,11 @@
                             .startsWith("Q.ASK 00000000b4d65521 1 c="));
                 }
                 try (Client client = new Client(program.port("HTTP requests"))) {
-                    StubServer.HttpText answer =
-                            client.http("GET /v1/plans/7 HTTP/1.1\r\nX-Customer: b4d65521\r\nX-Plan: consulta\r\n\r\n");
+                    StubServer.HttpMessage response = client.httpCall(
+                            "GET /v1/plans/7 HTTP/1.1\r\nX-Customer: b4d65521\r\nX-Plan: consulta\r\n\r\n");
                     assertEquals(
-                            "GET /v1/plans/7 ", answer.body() + (answer.body().endsWith(" ") ? "" : " "));
+                            "GET /v1/plans/7 ",
+                            response.body() + (response.body().endsWith(" ") ? "" : " "));
                 }
             }
         } finally {
--- a/gateway/src/test/java/stonelb/gateway/GatewayProcessFixture.java
+++ b/gateway/src/test/java/stonelb/gateway/GatewayProcessFixture.java
@@ -11,7 +11,7 @@
 import stonelb.standins.GatewayProcess.Client;
 import stonelb.standins.StubPlatform;
 
-/** A gateway process with stub servers and a client over the platform's protocol, for the tests that extend it. */
+/** Base class of tests that run a gateway process with stub servers and a client of the platform's protocol. */
 abstract class GatewayProcessFixture {
     static final String CUSTOMER = "0000000000000001";
 
@@ -26,13 +26,15 @@
     void start() throws Exception {
         platform = new StubPlatform();
         gateway = new GatewayProcess(
-                folder, platform.config("127.0.0.1:0", GatewayProcess.OPEN + "," + GatewayProcess.FIVE), null);
+                folder,
+                platform.config("127.0.0.1:0", GatewayProcess.UNLIMITED_PLAN + "," + GatewayProcess.FIVE_UNIT_PLAN),
+                null);
         client = new Client(gateway.port("RESP2 requests"));
     }
 
     @AfterEach
     void stop() throws IOException {
-        String internalError = gateway.line("internal error");
+        String internalError = gateway.firstLogLine("internal error");
         client.close();
         gateway.close();
         platform.close();
@@ -46,11 +48,11 @@
 
     /** Sends an idempotent request and returns the response. */
     String read(String plan, int waitMs, String body) throws IOException {
-        return client.ask("Q.ASK", "00000000b4d65521", "9b1f03aa5c7e2d41", attributes("read", plan, waitMs), body);
+        return client.call("Q.ASK", "00000000b4d65521", "9b1f03aa5c7e2d41", attributes("read", plan, waitMs), body);
     }
 
     /** Sends a request that is not idempotent and returns the response. */
     String log(String plan, int waitMs, String body) throws IOException {
-        return client.ask("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d42", attributes("log", plan, waitMs), body);
+        return client.call("Q.DO", "00000000b4d65521", "9b1f03aa5c7e2d42", attributes("log", plan, waitMs), body);
     }
 }
--- a/gateway/src/test/java/stonelb/gateway/GracefulShutdownTest.java
+++ b/gateway/src/test/java/stonelb/gateway/GracefulShutdownTest.java
@@ -35,13 +35,16 @@
 import stonelb.standins.StubPlatform;
 import stonelb.standins.StubServer;
 
-/** How client connections close in a graceful shutdown. The test answers for the endpoints, so each step waits for it. */
+/**
+ * Tests how client connections close in a graceful shutdown. The test completes the attempts itself, which fixes the
+ * order of events.
+ */
 class GracefulShutdownTest {
     @TempDir
     Path folder;
 
     private final RateLimitedLog log = new RateLimitedLog();
-    private volatile Double stoppedClock; // the clock's time, null while the clock runs
+    private volatile Double stoppedClock; // the time at which the clock is stopped, null while it runs
     private final EventLoop loop =
             new EventLoop(log, () -> stoppedClock == null ? System.nanoTime() / 1e6 : stoppedClock);
     private final BlockingQueue<Attempt> sentAttempts = new LinkedBlockingQueue<>();
@@ -53,7 +56,8 @@
     @BeforeEach
     void start() throws Exception {
         try (StubPlatform platform = new StubPlatform()) {
-            Files.writeString(folder.resolve("config.json"), platform.config("127.0.0.1:0", GatewayProcess.OPEN));
+            Files.writeString(
+                    folder.resolve("config.json"), platform.config("127.0.0.1:0", GatewayProcess.UNLIMITED_PLAN));
         }
         config = Configuration.read(
                 Map.of("PROXY_CONFIG", folder.resolve("config.json").toString()));
@@ -70,7 +74,7 @@
         };
         onLoop(() -> {
             requests = new RequestTable(
-                    config.settings(), 1, loop.timers(), connector, (name, amount, keep) -> {}, e -> {});
+                    config.settings(), 1, loop.timers(), connector, (name, amount, keepMs) -> {}, e -> {});
             requests.endpointsChanged(
                     EndpointListType.SNAPSHOT, List.of(new Endpoint(1, EndpointState.READY, 0, 1, 0, 0)));
             frontend = new PlatformFrontend(loop, log, requests, config, 100, () -> true);
@@ -83,12 +87,12 @@
         loop.shutdown();
     }
 
-    private void onLoop(Runnable step) throws Exception {
-        EventLoopTasks.run(loop, step);
+    private void onLoop(Runnable task) throws Exception {
+        EventLoopTasks.run(loop, task);
     }
 
     private static void sendRequest(Client client, String id) throws Exception {
-        client.command("Q.DO", "0000000000000001", id, "c=log,t=open,d=9000,units=1,spread=1,first=0", id);
+        client.sendCommand("Q.DO", "0000000000000001", id, "c=log,t=open,d=9000,units=1,spread=1,first=0", id);
     }
 
     private void respond(Attempt attempt) throws Exception {
@@ -101,121 +105,125 @@
 
     private Client connectClient() throws Exception {
         Client client = new Client(port);
-        assertEquals("+PONG", client.ask("PING"));
+        assertEquals("+PONG", client.call("PING"));
         return client;
     }
 
-    /** Commands read behind a request in flight must not be dropped once connections are to close. */
+    /** Commands pipelined after a request in flight must not be dropped when connections start to close. */
     @Test
     void requestPipelinedBehindOneInFlightIsAnsweredBeforeClose() throws Exception {
         try (Client client = connectClient()) {
             sendRequest(client, "1");
             Attempt first = sentAttempts.poll(20, TimeUnit.SECONDS);
             onLoop(() -> {
-                frontend.leave();
-                frontend.finishIdle(true);
+                frontend.startDraining();
+                frontend.closeIdleConnections(true);
             });
             sendRequest(client, "2");
             respond(sentAttempts.poll(20, TimeUnit.SECONDS));
             respond(first);
-            assertEquals("value", StubServer.resp(client.in));
-            assertEquals("value", StubServer.resp(client.in));
-            assertEquals(-1, client.in.read(), "it closes with its last response");
+            assertEquals("value", StubServer.readResp(client.in));
+            assertEquals("value", StubServer.readResp(client.in));
+            assertEquals(-1, client.in.read(), "the connection closes after its last response");
         }
     }
 
-    /** A request that has arrived, but is not read yet, keeps its connection open. */
+    /** A request that has arrived but is still unread keeps its connection open. */
     @Test
-    void requestThatArrivedWhileOthersCloseIsAnswered() throws Exception {
+    void unreadRequestIsAnsweredWhileIdleConnectionsClose() throws Exception {
         try (Client idle = connectClient();
                 Client requesting = connectClient()) {
-            CompletableFuture<Void> busy = new CompletableFuture<>();
-            CompletableFuture<Void> written = new CompletableFuture<>();
-            CompletableFuture<Void> closed = CompletableFuture.runAsync(
+            CompletableFuture<Void> loopBlocked = new CompletableFuture<>();
+            CompletableFuture<Void> requestWritten = new CompletableFuture<>();
+            CompletableFuture<Void> closeStarted = CompletableFuture.runAsync(
                     () -> {
-                        busy.complete(null);
-                        written.join();
-                        frontend.leave();
-                        frontend.finishIdle(false);
+                        loopBlocked.complete(null);
+                        requestWritten.join();
+                        frontend.startDraining();
+                        frontend.closeIdleConnections(false);
                     },
                     loop::execute);
-            busy.get(20, TimeUnit.SECONDS);
+            loopBlocked.get(20, TimeUnit.SECONDS);
             sendRequest(requesting, "1");
-            written.complete(null);
-            closed.get(20, TimeUnit.SECONDS);
-            assertEquals(-1, idle.in.read(), "the connection that was idle for longest is closed");
+            requestWritten.complete(null);
+            closeStarted.get(20, TimeUnit.SECONDS);
+            assertEquals(-1, idle.in.read(), "the connection that was idle the longest is closed");
             respond(sentAttempts.poll(20, TimeUnit.SECONDS));
-            onLoop(() -> frontend.finishIdle(false));
-            assertEquals("value", StubServer.resp(requesting.in));
+            onLoop(() -> frontend.closeIdleConnections(false));
+            assertEquals("value", StubServer.readResp(requesting.in));
             assertEquals(-1, requesting.in.read());
         }
     }
 
-    /** The connection closes with the response, whose client reads more slowly than it is written. */
+    /** A connection that closes after its response must not truncate it when the client reads slowly. */
     @Test
     void responseWrittenInPartsIsCompleteBeforeClose() throws Exception {
-        byte[] large = new byte[32 << 20]; // more than the buffers of both sockets hold
+        byte[] largeValue = new byte[32 << 20]; // more than the buffers of both sockets hold
         try (Client idle = connectClient();
                 Client requesting = connectClient()) {
             sendRequest(idle, "1");
-            respond(sentAttempts.poll(20, TimeUnit.SECONDS), large);
+            respond(sentAttempts.poll(20, TimeUnit.SECONDS), largeValue);
             sendRequest(requesting, "2");
             Attempt second = sentAttempts.poll(20, TimeUnit.SECONDS);
             onLoop(() -> {
-                frontend.leave();
-                frontend.finishIdle(false);
+                frontend.startDraining();
+                frontend.closeIdleConnections(false);
             });
-            respond(second, large);
+            respond(second, largeValue);
             for (Client client : List.of(idle, requesting)) {
-                assertEquals(large.length, StubServer.resp(client.in).length());
-                assertEquals(-1, client.in.read(), "it closes with its last response");
+                assertEquals(largeValue.length, StubServer.readResp(client.in).length());
+                assertEquals(-1, client.in.read(), "the connection closes after its last response");
             }
         }
     }
 
-    /** An unread request resets the connection, so its client sends it again; a request read and dropped would be lost. */
+    /**
+     * An unread request resets the connection, so that the client retries it; a request that is read and dropped is
+     * lost.
+     */
     @Test
-    void requestThatCrossesTheCloseIsNotRead() throws Exception {
+    void requestSentDuringCloseIsNotRead() throws Exception {
         try (Client client = connectClient()) {
             sendRequest(client, "1");
             Attempt first = sentAttempts.poll(20, TimeUnit.SECONDS);
-            onLoop(frontend::leave);
-            CompletableFuture<Void> crossed = new CompletableFuture<>();
+            onLoop(frontend::startDraining);
+            CompletableFuture<Void> secondRequestSent = new CompletableFuture<>();
             CompletableFuture<Void> ended = CompletableFuture.runAsync(
                     () -> {
                         requests.attemptEnded(
                                 first, Outcome.OK, new RespResponse("value".getBytes(StandardCharsets.US_ASCII)));
-                        crossed.join();
+                        secondRequestSent.join();
                     },
                     loop::execute);
-            assertEquals("value", StubServer.resp(client.in));
+            assertEquals("value", StubServer.readResp(client.in));
             sendRequest(client, "2");
-            crossed.complete(null);
+            secondRequestSent.complete(null);
             ended.get(20, TimeUnit.SECONDS);
-            GatewayProcess.until("the connection is closed", () -> EventLoopTasks.call(loop, frontend::empty));
-            assertThrows(IOException.class, () -> client.write("x"), "its unread request has reset the connection");
+            GatewayProcess.awaitCondition(
+                    "the connection is closed", () -> EventLoopTasks.call(loop, frontend::hasNoConnections));
+            assertThrows(IOException.class, () -> client.write("x"), "the unread request has reset the connection");
         }
     }
 
-    /** The port stays open for a request that crossed the close of its connection and that its client sends again. */
+    /** The port stays open for clients that retry a request sent just as its connection closed. */
     @Test
     void retryOnNewConnectionIsAnswered() throws Exception {
         try (Client client = connectClient()) {
             onLoop(() -> {
-                frontend.leave();
-                frontend.finishIdle(false);
+                frontend.startDraining();
+                frontend.closeIdleConnections(false);
             });
             assertEquals(-1, client.in.read());
-            try (Client again = new Client(port)) {
-                sendRequest(again, "1");
+            try (Client reconnected = new Client(port)) {
+                sendRequest(reconnected, "1");
                 respond(sentAttempts.poll(20, TimeUnit.SECONDS));
-                assertEquals("value", StubServer.resp(again.in));
-                assertEquals(-1, again.in.read(), "it closes with its response");
+                assertEquals("value", StubServer.readResp(reconnected.in));
+                assertEquals(-1, reconnected.in.read(), "the connection closes after its response");
             }
         }
     }
 
-    /** After the time limit there is no time to serve the retry; a rejection sends it to another gateway. */
+    /** After the time limit there is no time to serve a retry; a rejection lets the client try another gateway. */
     @Test
     void retryAfterTimeLimitIsRejectedAtOnce() throws Exception {
         try (Client client = connectClient()) {
@@ -225,31 +233,32 @@
                         .start(loop.now() - 3100);
             });
             assertEquals(-1, client.in.read());
-            try (Client again = new Client(port)) {
-                sendRequest(again, "1");
-                assertEquals("-BUSY 500", StubServer.resp(again.in));
-                assertEquals(-1, again.in.read(), "it closes with its response");
+            try (Client reconnected = new Client(port)) {
+                sendRequest(reconnected, "1");
+                assertEquals("-BUSY 500", StubServer.readResp(reconnected.in));
+                assertEquals(-1, reconnected.in.read(), "the connection closes after its response");
             }
             assertEquals(0, sentAttempts.size());
         }
     }
 
-    /** A connection whose client still reads its response must not be closed as idle, nor for a new connection. */
+    /** A connection whose response is still being read must not be closed as idle, nor to admit a new connection. */
     @Test
     void connectionWithPendingWriteIsNotEvicted() throws Exception {
-        byte[] large = new byte[32 << 20]; // more than the buffers of both sockets hold
-        PlatformFrontend small = new PlatformFrontend(loop, log, requests, config, 1, () -> true);
-        int smallPort = small.listen(config.listen()).getPort();
-        try (Client reading = new Client(smallPort)) {
+        byte[] largeValue = new byte[32 << 20]; // more than the buffers of both sockets hold
+        PlatformFrontend singleConnectionFrontend = new PlatformFrontend(loop, log, requests, config, 1, () -> true);
+        int singleConnectionPort =
+                singleConnectionFrontend.listen(config.listen()).getPort();
+        try (Client reading = new Client(singleConnectionPort)) {
             sendRequest(reading, "1");
-            respond(sentAttempts.poll(20, TimeUnit.SECONDS), large);
-            try (Client another = new Client(smallPort)) {
+            respond(sentAttempts.poll(20, TimeUnit.SECONDS), largeValue);
+            try (Client another = new Client(singleConnectionPort)) {
                 assertEquals(-1, another.in.read(), "the new connection is closed");
             }
-            assertEquals(large.length, StubServer.resp(reading.in).length());
+            assertEquals(largeValue.length, StubServer.readResp(reading.in).length());
             sendRequest(reading, "2");
             respond(sentAttempts.poll(20, TimeUnit.SECONDS));
-            assertEquals("value", StubServer.resp(reading.in), "and the connection is still served");
+            assertEquals("value", StubServer.readResp(reading.in), "the connection is still served");
         }
     }
 
@@ -257,23 +266,24 @@
     @Test
     void connectionWithPartialRequestIsNotIdle() throws Exception {
         stoppedClock = 1_000_000.0;
-        PlatformFrontend small = new PlatformFrontend(loop, log, requests, config, 1, () -> true);
-        try (Client client = new Client(small.listen(config.listen()).getPort())) {
-            assertEquals("+PONG", client.ask("PING"));
+        PlatformFrontend singleConnectionFrontend = new PlatformFrontend(loop, log, requests, config, 1, () -> true);
+        try (Client client =
+                new Client(singleConnectionFrontend.listen(config.listen()).getPort())) {
+            assertEquals("+PONG", client.call("PING"));
             stoppedClock = loop.now() + 2300; // more than the idle timeout
             client.write("*5\r\n$4\r\nQ.DO\r\n");
-            EventLoopTasks.awaitPass(loop);
-            onLoop(() -> small.onTimer(loop.now(), 0));
+            EventLoopTasks.awaitIteration(loop);
+            onLoop(() -> singleConnectionFrontend.onTimer(loop.now(), 0));
             client.write("$16\r\n0000000000000001\r\n$1\r\n1\r\n$44\r\nc=log,t=open,d=9000,units=1,spread=1,first=0"
                     + "\r\n$1\r\nx\r\n");
             respond(sentAttempts.poll(20, TimeUnit.SECONDS));
-            assertEquals("value", StubServer.resp(client.in));
+            assertEquals("value", StubServer.readResp(client.in));
         }
     }
 
-    /** The event loop was busy when the signal came; the last responses must still precede SIGKILL. */
+    /** If the event loop is busy when SIGTERM arrives, the last responses must still be sent before SIGKILL. */
     @Test
-    void lateSignalDeliveryStillEndsInTime() throws Exception {
+    void shutdownAfterDelayedSignalEndsInTime() throws Exception {
         try (Client client = connectClient()) {
             sendRequest(client, "1");
             sentAttempts.poll(20, TimeUnit.SECONDS);
@@ -282,7 +292,7 @@
                 new GracefulShutdown(loop, log, requests, List.of(frontend), List.of(9000.0), () -> {})
                         .start(loop.now() - 3300);
             });
-            assertEquals("-ERR failed", StubServer.resp(client.in));
+            assertEquals("-ERR failed", StubServer.readResp(client.in));
             assertEquals(-1, client.in.read());
         }
     }
--- a/gateway/src/test/java/stonelb/gateway/PlatformFrontendTest.java
+++ b/gateway/src/test/java/stonelb/gateway/PlatformFrontendTest.java
@@ -12,13 +12,13 @@
 import stonelb.standins.GatewayProcess.Client;
 import stonelb.standins.StubServer;
 
-/** The gateway process over the platform's protocol, against stub servers. */
+/** Tests the gateway process over the platform's protocol, against stub servers. */
 class PlatformFrontendTest extends GatewayProcessFixture {
     @Test
-    void forwardsAllButTheTimeLeft() throws IOException {
-        assertEquals("+PONG", client.ask("PING"));
+    void forwardsRequestUnchangedExceptForRemainingTime() throws IOException {
+        assertEquals("+PONG", client.call("PING"));
         assertEquals("echo hello", read("open", 5000, "hello"));
-        String sent = platform.raw.get(0);
+        String sent = platform.receivedRequests.get(0);
         assertTrue(
                 sent.matches("\\[Q.ASK, 00000000b4d65521, 9b1f03aa5c7e2d41, c=read,t=open,d=\\d+,units=1,spread=1,"
                         + "first=0, hello]"),
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void rejectsAtOnceBeyondTheQuota() throws IOException {
+    void rejectsImmediatelyBeyondTheQuota() throws IOException {
         int served = 0;
         String last = "";
         for (int i = 0; i < 8; i++) {
@@ -38,38 +38,38 @@
         }
         assertEquals(5, served);
         assertTrue(last.matches("-BUSY \\d+"), "it states a retry delay although the settings ask for none: " + last);
-        assertEquals(5, platform.ran.size(), "rejected requests reach no endpoint");
+        assertEquals(5, platform.executedRequests.size(), "rejected requests reach no endpoint");
     }
 
     @Test
-    void logThatMayHaveBeenExecutedIsNotRetried() throws IOException {
+    void nonIdempotentRequestThatMayHaveRunIsNotRetried() throws IOException {
         assertEquals("-ERR failed", log("open", 5000, "fail"));
         assertEquals("-ERR failed", log("open", 5000, "reset"));
-        assertEquals(2, platform.ran.size());
+        assertEquals(2, platform.executedRequests.size());
     }
 
     @Test
-    void readIsRetriedBeforeItFails() throws IOException {
+    void idempotentRequestIsRetriedBeforeItFails() throws IOException {
         assertTrue(read("open", 3000, "fail").startsWith("-"));
-        assertTrue(platform.ran.size() > 1, platform.ran.toString());
+        assertTrue(platform.executedRequests.size() > 1, platform.executedRequests.toString());
     }
 
     @Test
-    void silentEndpointIsAnsweredBeforeTheDeadline() throws IOException {
+    void requestToUnresponsiveEndpointTimesOut() throws IOException {
         assertEquals("-ERR out of time", log("open", 600, "slow 20000"));
-        assertEquals(1, platform.ran.size());
+        assertEquals(1, platform.executedRequests.size());
         assertEquals(
                 "echo next", log("open", 10_000, "next"), "the connection of the abandoned attempt is not used again");
     }
 
     @Test
     void pipelinedResponsesKeepTheirOrder() throws IOException {
-        client.command("Q.ASK", CUSTOMER, "1", attributes("read", "open", 9000), "slow 300");
-        client.command("PING");
-        client.command("Q.ASK", CUSTOMER, "2", attributes("read", "open", 9000), "quick");
-        assertEquals("echo slow 300", StubServer.resp(client.in));
-        assertEquals("+PONG", StubServer.resp(client.in));
-        assertEquals("echo quick", StubServer.resp(client.in));
+        client.sendCommand("Q.ASK", CUSTOMER, "1", attributes("read", "open", 9000), "slow 300");
+        client.sendCommand("PING");
+        client.sendCommand("Q.ASK", CUSTOMER, "2", attributes("read", "open", 9000), "quick");
+        assertEquals("echo slow 300", StubServer.readResp(client.in));
+        assertEquals("+PONG", StubServer.readResp(client.in));
+        assertEquals("echo quick", StubServer.readResp(client.in));
     }
 
     @Test
@@ -78,13 +78,17 @@
             assertEquals("echo x", read("open", 9000, "x"));
             Thread.sleep(50);
         }
-        assertTrue(platform.resp.connections() < 20, platform.resp.connections() + " connections for 20 requests");
+        assertTrue(
+                platform.resp.openConnections() < 20, platform.resp.openConnections() + " connections for 20 requests");
     }
 
-    /** Each connection that the endpoint drops long before the configured idle timeout costs a request. */
+    /**
+     * The endpoint drops connections long before the configured idle timeout, and each such connection fails a request.
+     * The gateway must learn to reuse connections only for a shorter time.
+     */
     @Test
     void connectionsThatGoStaleEarlyAreNotReusedForLong() throws Exception {
-        platform.staleMs = 60;
+        platform.maxIdleMs = 60;
         int failed = 0;
         for (int i = 0; i < 12; i++) {
             failed += log("open", 5000, "x").equals("echo x") ? 0 : 1;
@@ -94,7 +98,7 @@
     }
 
     @Test
-    void surplusResponseIsNotTakenForAnotherRequest() throws IOException {
+    void extraResponseIsNotMatchedToAnotherRequest() throws IOException {
         for (int i = 0; i < 10; i++) {
             assertEquals("echo twice " + i, read("open", 9000, "twice " + i));
             assertEquals("echo x", read("open", 9000, "x"));
@@ -103,12 +107,13 @@
 
     @Test
     void idleConnectionIsClosedBeforeTheEndpointClosesIt() throws Exception {
-        String config = platform.config("127.0.0.1:0", GatewayProcess.OPEN)
+        String config = platform.config("127.0.0.1:0", GatewayProcess.UNLIMITED_PLAN)
                 .replace("\"connIdleMs\":30000.0", "\"connIdleMs\":500");
-        try (GatewayProcess other = new GatewayProcess(folder, config, null);
-                Client c = new Client(other.port("RESP2 requests"))) {
-            assertEquals("echo x", c.ask("Q.ASK", CUSTOMER, "2", attributes("read", "open", 9000), "x"));
-            GatewayProcess.until("the gateway closes the connection", () -> platform.resp.connections() == 0);
+        try (GatewayProcess otherGateway = new GatewayProcess(folder, config, null);
+                Client otherClient = new Client(otherGateway.port("RESP2 requests"))) {
+            assertEquals("echo x", otherClient.call("Q.ASK", CUSTOMER, "2", attributes("read", "open", 9000), "x"));
+            GatewayProcess.awaitCondition(
+                    "the gateway closes the connection", () -> platform.resp.openConnections() == 0);
         }
     }
 
@@ -116,11 +121,12 @@
     void drainingEndpointGetsNoNewRequests() throws Exception {
         assertEquals("echo a", read("open", 9000, "a"));
         platform.status("terminating");
-        GatewayProcess.until("the gateway closes its idle connections", () -> platform.resp.connections() == 0);
+        GatewayProcess.awaitCondition(
+                "the gateway closes its idle connections", () -> platform.resp.openConnections() == 0);
         assertTrue(read("open", 700, "b").startsWith("-BUSY"));
-        assertEquals(1, platform.ran.size());
+        assertEquals(1, platform.executedRequests.size());
         platform.status("in_service");
-        GatewayProcess.until("the endpoint is used again", () -> {
+        GatewayProcess.awaitCondition("the endpoint is used again", () -> {
             try {
                 return read("open", 700, "c").equals("echo c");
             } catch (IOException e) {
@@ -131,10 +137,10 @@
 
     @Test
     void clientDisconnectAbandonsItsAttempt() throws Exception {
-        client.command("Q.DO", CUSTOMER, "1", attributes("log", "open", 15_000), "slow 200");
-        GatewayProcess.until("it is in flight", () -> !platform.ran.isEmpty());
+        client.sendCommand("Q.DO", CUSTOMER, "1", attributes("log", "open", 15_000), "slow 200");
+        GatewayProcess.awaitCondition("the request is in flight", () -> !platform.executedRequests.isEmpty());
         client.close();
-        GatewayProcess.until("the attempt is abandoned", () -> platform.resp.connections() == 0);
+        GatewayProcess.awaitCondition("the attempt is abandoned", () -> platform.resp.openConnections() == 0);
         client = new Client(gateway.port("RESP2 requests"));
         assertEquals("echo on", read("open", 9000, "on"));
     }
@@ -145,7 +151,7 @@
                 new String[] {"GET / HTTP/1.1\r\n\r\n", "*1\r\n:5\r\n", "*99999\r\n", "$-7\r\n", "*1\r\n$70000\r\n"}) {
             try (Client other = new Client(client.socket.getPort())) {
                 other.write(malformed);
-                assertTrue(StubServer.resp(other.in).startsWith("-ERR Protocol error"), malformed);
+                assertTrue(StubServer.readResp(other.in).startsWith("-ERR Protocol error"), malformed);
                 assertEquals(-1, other.in.read(), "the connection is closed");
             }
         }
@@ -188,29 +194,30 @@
             invalidCommands.add(
                     new String[] {"Q.ASK", CUSTOMER, "2", validAttributes.replace(replacement[0], replacement[1])});
         }
-        for (String[] words : invalidCommands) {
-            assertTrue(client.ask(words).startsWith("-ERR"), String.join(" ", words));
+        for (String[] command : invalidCommands) {
+            assertTrue(client.call(command).startsWith("-ERR"), String.join(" ", command));
         }
         assertEquals("echo on", read("open", 9000, "on"));
-        assertEquals(1, platform.ran.size(), "none of these reached an endpoint: " + platform.ran);
+        assertEquals(
+                1, platform.executedRequests.size(), "none of these reached an endpoint: " + platform.executedRequests);
     }
 
     @Test
     void requestIdInFlightIsRejectedUntilAnswered() throws Exception {
         try (Client other = new Client(client.socket.getPort())) {
-            client.command("Q.ASK", CUSTOMER, "7", attributes("read", "open", 9000), "slow 400");
-            GatewayProcess.until("it is in flight", () -> !platform.ran.isEmpty());
+            client.sendCommand("Q.ASK", CUSTOMER, "7", attributes("read", "open", 9000), "slow 400");
+            GatewayProcess.awaitCondition("the request is in flight", () -> !platform.executedRequests.isEmpty());
             assertEquals(
                     "-ERR a request with this id is open",
-                    other.ask("Q.ASK", CUSTOMER, "7", attributes("read", "open", 9000), "x"));
-            assertEquals("echo slow 400", StubServer.resp(client.in));
-            assertEquals("echo x", other.ask("Q.ASK", CUSTOMER, "7", attributes("read", "open", 9000), "x"));
-            client.command("Q.ASK", CUSTOMER, "8", attributes("read", "open", 9000), "slow 9000");
-            GatewayProcess.until("the next is in flight", () -> platform.ran.size() == 3);
+                    other.call("Q.ASK", CUSTOMER, "7", attributes("read", "open", 9000), "x"));
+            assertEquals("echo slow 400", StubServer.readResp(client.in));
+            assertEquals("echo x", other.call("Q.ASK", CUSTOMER, "7", attributes("read", "open", 9000), "x"));
+            client.sendCommand("Q.ASK", CUSTOMER, "8", attributes("read", "open", 9000), "slow 9000");
+            GatewayProcess.awaitCondition("the next request is in flight", () -> platform.executedRequests.size() == 3);
             client.close();
-            GatewayProcess.until("the id of a disconnected client is accepted again", () -> {
+            GatewayProcess.awaitCondition("the id of a disconnected client is accepted again", () -> {
                 try {
-                    return other.ask("Q.ASK", CUSTOMER, "8", attributes("read", "open", 9000), "y")
+                    return other.call("Q.ASK", CUSTOMER, "8", attributes("read", "open", 9000), "y")
                             .equals("echo y");
                 } catch (IOException e) {
                     return false;
@@ -219,39 +226,42 @@
         }
     }
 
-    /** Clients that send one request and keep their connection must not cause new clients to be closed. */
+    /**
+     * Clients that send one request and keep their connection must not cause connections of new clients to be closed.
+     */
     @Test
-    void newestClientIsServedWhileOthersHoldAllConnections() throws Exception {
-        String config =
-                platform.config("127.0.0.1:0", GatewayProcess.OPEN).replace("\"sockets\":1024", "\"sockets\":100");
+    void newClientIsServedWhileIdleClientsHoldAllConnections() throws Exception {
+        String config = platform.config("127.0.0.1:0", GatewayProcess.UNLIMITED_PLAN)
+                .replace("\"sockets\":1024", "\"sockets\":100");
         List<Client> clients = new ArrayList<>();
-        try (GatewayProcess other = new GatewayProcess(folder, config, null)) {
+        try (GatewayProcess otherGateway = new GatewayProcess(folder, config, null)) {
             for (int i = 0; i < 120; i++) {
-                Client c = new Client(other.port("RESP2 requests"));
-                clients.add(c);
+                Client otherClient = new Client(otherGateway.port("RESP2 requests"));
+                clients.add(otherClient);
                 if (i % 3 > 0) {
                     assertEquals(
                             "echo x",
-                            c.ask("Q.ASK", CUSTOMER, Integer.toHexString(i), attributes("read", "open", 9000), "x"));
+                            otherClient.call(
+                                    "Q.ASK", CUSTOMER, Integer.toHexString(i), attributes("read", "open", 9000), "x"));
                 }
             }
-            assertNull(other.line("client connection limit reached"));
+            assertNull(otherGateway.firstLogLine("client connection limit reached"));
         } finally {
-            for (Client c : clients) {
-                c.close();
+            for (Client otherClient : clients) {
+                otherClient.close();
             }
         }
     }
 
-    /** Many messages of an allowed size would together exceed the heap. */
+    /** Partial messages that are each within the size limit must not exceed the heap together. */
     @Test
     void manyLargePartialMessagesStayWithinTheHeap() throws Exception {
         List<Client> clients = new ArrayList<>();
         String partialCommand =
                 "*5\r\n$5\r\nQ.ASK\r\n$65536\r\n" + "x".repeat(65536) + "\r\n$60000\r\n" + "x".repeat(59_000);
-        try (GatewayProcess other = new GatewayProcess(
+        try (GatewayProcess otherGateway = new GatewayProcess(
                 folder,
-                platform.config("127.0.0.1:0", GatewayProcess.OPEN),
+                platform.config("127.0.0.1:0", GatewayProcess.UNLIMITED_PLAN),
                 null,
                 "-Xmx48m",
                 "-XX:+ExitOnOutOfMemoryError",
@@ -260,44 +270,46 @@
                 System.getProperty("java.class.path"),
                 "stonelb.gateway.Main")) {
             for (int i = 0; i < 400; i++) {
-                Client c = new Client(other.port("RESP2 requests"));
-                clients.add(c);
+                Client otherClient = new Client(otherGateway.port("RESP2 requests"));
+                clients.add(otherClient);
                 try {
-                    c.write(partialCommand);
+                    otherClient.write(partialCommand);
                 } catch (IOException e) {
-                    // closed by the gateway, as it may
+                    // the gateway may close the connection
                 }
             }
-            try (Client c = new Client(other.port("RESP2 requests"))) {
-                assertEquals("echo x", c.ask("Q.ASK", CUSTOMER, "2", attributes("read", "open", 9000), "x"));
+            try (Client otherClient = new Client(otherGateway.port("RESP2 requests"))) {
+                assertEquals("echo x", otherClient.call("Q.ASK", CUSTOMER, "2", attributes("read", "open", 9000), "x"));
             }
-            assertTrue(other.alive());
+            assertTrue(otherGateway.isAlive());
         } finally {
-            for (Client c : clients) {
-                c.close();
+            for (Client otherClient : clients) {
+                otherClient.close();
             }
         }
     }
 
     @Test
-    void silentConnectionIsClosedAndPartialRequestIsRejected() throws Exception {
-        try (Client silent = new Client(client.socket.getPort());
+    void connectionWithoutRequestIsClosedAndPartialRequestIsRejected() throws Exception {
+        try (Client clientWithoutRequest = new Client(client.socket.getPort());
                 Client partial = new Client(client.socket.getPort())) {
             partial.write("*4\r\n$5\r\nQ.A");
-            client.command("Q.ASK", CUSTOMER, "1", attributes("read", "open", 15_000), "slow 4000");
+            client.sendCommand("Q.ASK", CUSTOMER, "1", attributes("read", "open", 15_000), "slow 4000");
             client.write("*4\r\n$5\r\n");
-            assertEquals(-1, silent.in.read());
-            assertTrue(StubServer.resp(partial.in).startsWith("-ERR Protocol error"));
+            assertEquals(-1, clientWithoutRequest.in.read());
+            assertTrue(StubServer.readResp(partial.in).startsWith("-ERR Protocol error"));
             assertEquals(-1, partial.in.read());
             assertEquals(
-                    "echo slow 4000", StubServer.resp(client.in), "the complete request before it is still answered");
-            assertTrue(StubServer.resp(client.in).startsWith("-ERR Protocol error"));
+                    "echo slow 4000",
+                    StubServer.readResp(client.in),
+                    "the complete request before it is still answered");
+            assertTrue(StubServer.readResp(client.in).startsWith("-ERR Protocol error"));
         }
     }
 
     @Test
-    void silentCounterLeavesALocalQuota() throws IOException {
-        platform.counterSilent = true;
+    void localQuotaIsUsedWhileCounterIsUnresponsive() throws IOException {
+        platform.counterUnresponsive = true;
         assertEquals("echo x", read("five", 15_000, "x"));
     }
 }
