--- a/gateway/src/test/java/stonelb/gateway/ReplayTest.java
+++ b/gateway/src/test/java/stonelb/gateway/ReplayTest.java
@@ -38,15 +38,15 @@
 import stonelb.standins.StubServer;
 
 /**
- * The same mixed traffic through both frontends, over sockets and on a stopped clock, so that nothing but the frontend
- * differs: responses, requests executed by the endpoint and calls to the quota counter must be the same.
+ * Sends the same mixed traffic through both frontends, over sockets and on a stopped clock, so that only the frontend
+ * differs: responses, requests executed by the endpoint and calls to the quota counter must be equal.
  */
 class ReplayTest {
     private static final int REQUESTS = 200;
     private static final String[] BODIES = {"a", "b", "c", "d", "fail", "away", "reset"};
     private static final String[] CUSTOMERS = {
         "00000000b4d65521", "000000000000001f", "00000000000077aa", "0000000000000005"
-    }; // the last one has no quota
+    }; // the last customer has no quota
 
     @TempDir
     Path folder;
@@ -54,7 +54,11 @@
     private record ReplayedRequest(boolean log, String customer, String plan, String body) {}
 
     /** The observed effects of a replay. */
-    private record ReplayResult(List<String> answers, List<String> ran, List<String> added, Map<Long, Double> totals) {}
+    private record ReplayResult(
+            List<String> responses,
+            List<String> executedBodies,
+            List<String> counterCalls,
+            Map<Long, Double> counterTotals) {}
 
     private static List<ReplayedRequest> traffic() {
         Random random = new Random(20);
@@ -84,7 +88,7 @@
                     folder.resolve("config.json"),
                     platform.config(
                             "127.0.0.1:0",
-                            GatewayProcess.OPEN
+                            GatewayProcess.UNLIMITED_PLAN
                                     + ",{\"name\":\"wide\",\"unitsPerS\":0.5,\"depth\":40,\"worthFactor\":1,\"overrunCost\":1}"));
             Configuration config = Configuration.read(
                     Map.of("PROXY_CONFIG", folder.resolve("config.json").toString()));
@@ -101,8 +105,8 @@
                         @Override
                         public void wakeAt(double whenMs) {}
                     });
-            Map<Long, Double> totals = new TreeMap<>();
-            List<String> added = new ArrayList<>();
+            Map<Long, Double> counterTotals = new TreeMap<>();
+            List<String> counterCalls = new ArrayList<>();
             CompletableFuture<InetSocketAddress> created = new CompletableFuture<>();
             Frontend[] frontend = new Frontend[1];
             loop.execute(() -> {
@@ -110,9 +114,9 @@
                     EndpointConnections connections =
                             new EndpointConnections(loop, log, 5000, 30_000, 100, openApiSettings.serverPort());
                     RequestTable[] requests = new RequestTable[1];
-                    QuotaCounter counter = (name, amount, keep) -> {
-                        added.add(name + " " + amount);
-                        double total = totals.merge(name, amount, Double::sum);
+                    QuotaCounter counter = (name, amount, keepMs) -> {
+                        counterCalls.add(name + " " + amount);
+                        double total = counterTotals.merge(name, amount, Double::sum);
                         loop.execute(() -> requests[0].counterAnswered(name, Outcome.OK, 1, total));
                     };
                     requests[0] = new RequestTable(
@@ -122,13 +126,13 @@
                             connections,
                             counter,
                             e -> created.completeExceptionally(e));
-                    connections.begin(requests[0]);
+                    connections.start(requests[0]);
                     new EndpointList(
                                     config.zones(),
                                     new EndpointStartTimes(stoppedTimers::now, stoppedTimers::now),
                                     requests[0]::endpointsChanged,
                                     connections)
-                            .loadCached(new Gson().fromJson(platform.list(), JsonObject.class));
+                            .loadCached(new Gson().fromJson(platform.endpointList(), JsonObject.class));
                     frontend[0] = openApi
                             ? new OpenApiFrontend(loop, log, requests[0], config, openApiSettings, 100)
                             : new PlatformFrontend(loop, log, requests[0], config, 100, () -> true);
@@ -138,52 +142,56 @@
                 }
             });
             created.get(20, TimeUnit.SECONDS);
-            List<String> answers = new ArrayList<>();
+            List<String> responses = new ArrayList<>();
             try (Client client = new Client(frontend[0].listen(config.listen()).getPort())) {
                 for (ReplayedRequest request : traffic()) {
-                    answers.add(openApi ? sendOverHttp(client, request) : sendOverResp(client, request));
+                    responses.add(openApi ? sendOverHttp(client, request) : sendOverResp(client, request));
                 }
             }
             CompletableFuture<ReplayResult> result = new CompletableFuture<>();
             loop.execute(() -> {
-                frontend[0].finishIdle(true);
+                frontend[0].closeIdleConnections(true);
                 result.complete(new ReplayResult(
-                        answers, new ArrayList<>(platform.ran), new ArrayList<>(added), new HashMap<>(totals)));
+                        responses,
+                        new ArrayList<>(platform.executedRequests),
+                        new ArrayList<>(counterCalls),
+                        new HashMap<>(counterTotals)));
             });
             return result.get(20, TimeUnit.SECONDS);
         }
     }
 
     private static String sendOverResp(Client client, ReplayedRequest request) throws Exception {
-        String answer = client.ask(
+        String response = client.call(
                 request.log ? "Q.DO" : "Q.ASK",
                 request.customer,
                 "9",
                 "c=" + (request.log ? "log" : "read") + ",t=" + request.plan + ",d=9000,units=" + (request.log ? 1 : 2)
                         + ",spread=1,first=0",
                 request.body);
-        return answer.startsWith("-BUSY") ? "rejected" : answer.startsWith("-ERR") ? "failed" : answer;
+        return response.startsWith("-BUSY") ? "rejected" : response.startsWith("-ERR") ? "failed" : response;
     }
 
     private static String sendOverHttp(Client client, ReplayedRequest request) throws Exception {
-        StubServer.HttpText answer = client.http(OpenApiFrontendTest.request(
+        StubServer.HttpMessage response = client.httpCall(OpenApiFrontendTest.request(
                         request.log ? "POST /v1/logs" : "GET /v1/plans/7", request.plan, 9000, request.body)
                 .replace("b4d65521", request.customer));
-        return answer.status() == 429 ? "rejected" : answer.status() == 502 ? "failed" : answer.body();
+        return response.status() == 429 ? "rejected" : response.status() == 502 ? "failed" : response.body();
     }
 
     @Test
-    void bothFrontendsGiveTheSameResponsesAndCounts() throws Exception {
+    void bothFrontendsProduceSameResponsesAndCounts() throws Exception {
         ReplayResult platform = replay(false);
         ReplayResult openApi = replay(true);
-        assertEquals(platform.answers, openApi.answers);
-        assertEquals(platform.ran, openApi.ran);
-        assertEquals(platform.added, openApi.added);
-        assertEquals(platform.totals, openApi.totals);
+        assertEquals(platform.responses, openApi.responses);
+        assertEquals(platform.executedBodies, openApi.executedBodies);
+        assertEquals(platform.counterCalls, openApi.counterCalls);
+        assertEquals(platform.counterTotals, openApi.counterTotals);
         for (String kind : List.of("rejected", "failed", "echo a")) {
-            assertTrue(platform.answers.contains(kind), "the traffic shows " + kind);
+            assertTrue(platform.responses.contains(kind), "the traffic contains no response " + kind);
         }
         assertTrue(
-                platform.added.size() > 3 && platform.totals.size() == CUSTOMERS.length - 1, platform.added.toString());
+                platform.counterCalls.size() > 3 && platform.counterTotals.size() == CUSTOMERS.length - 1,
+                platform.counterCalls.toString());
     }
 }
--- a/gateway/src/test/java/stonelb/gateway/RequestInterleavingTest.java
+++ b/gateway/src/test/java/stonelb/gateway/RequestInterleavingTest.java
@@ -25,14 +25,14 @@
 
 /**
  * Random interleavings of requests, partial reads and writes, resets, disconnects and a graceful shutdown. Each request
- * that was read from a client that stays gets exactly one response, its own, and in its turn; no attempt is sent for a
- * client that has gone.
+ * read from a client that stays connected must get exactly one response, its own and in order; no attempt may be sent
+ * for a client that has disconnected.
  */
 class RequestInterleavingTest {
     private static final int CLIENTS = 12;
     private static final int REQUESTS_PER_CLIENT = 25;
 
-    /** 100 ms that clients are owed, and as much again for the threads of the test on a busy machine. */
+    /** The limit of 100 ms, doubled to allow for delays of the test's threads on a busy machine. */
     private static final double MAX_MS_AFTER_DISCONNECT = 200;
 
     @TempDir
@@ -45,7 +45,7 @@
         return System.nanoTime() / 1e6;
     }
 
-    /** An endpoint that fails in some way at every fourth request or so. */
+    /** An endpoint that fails in some way for about every fourth request. */
     private StubServer startEndpoint(long seed) throws IOException {
         Random seeds = new Random(seed);
         return new StubServer((in, out) -> {
@@ -61,7 +61,7 @@
 
     /** Returns whether the connection is kept. */
     private boolean serveOne(Random random, InputStream in, OutputStream out) throws IOException, InterruptedException {
-        String id = StubServer.command(in).get(2);
+        String id = StubServer.readCommand(in).get(2);
         lastReceivedAt.put(id, nowMs());
         Thread.sleep(random.nextInt(12));
         String response = "*1\r\n$" + id.length() + "\r\n" + id + "\r\n";
@@ -90,13 +90,13 @@
         return true;
     }
 
-    /** One client on one connection, which leaves at random or stays to the end. */
+    /** One client on one connection, which disconnects at random or stays connected to the end. */
     private final class RandomClient implements Runnable {
         private final Random random;
         private final String name;
         private final InProcessGateway gateway;
         private final Map<String, Long> endOffsets = new LinkedHashMap<>(); // of the requests sent, in order
-        private long written;
+        private long bytesWritten;
         private int responses;
 
         RandomClient(long seed, String name, InProcessGateway gateway) {
@@ -107,21 +107,21 @@
 
         @Override
         public void run() {
-            boolean leaves = random.nextInt(3) == 0;
-            int leavesAfter = leaves ? random.nextInt(REQUESTS_PER_CLIENT) : REQUESTS_PER_CLIENT;
+            boolean disconnects = random.nextInt(3) == 0;
+            int requestsToSend = disconnects ? random.nextInt(REQUESTS_PER_CLIENT) : REQUESTS_PER_CLIENT;
             try (Client client = new Client(gateway.port())) {
                 int port = client.socket.getLocalPort();
                 try {
-                    exchange(client, leavesAfter);
-                    if (leaves) {
-                        leave(client);
+                    exchange(client, requestsToSend);
+                    if (disconnects) {
+                        disconnect(client);
                         return;
                     }
                     awaitResponses(client, endOffsets.size());
                 } catch (SocketTimeoutException e) {
-                    violations.add(name + " waits in vain after " + responses + " responses");
+                    violations.add(name + " timed out waiting after " + responses + " responses");
                 } catch (IOException e) {
-                    checkClosed(port);
+                    checkRequestsReadAreAnswered(port);
                 }
             } catch (IOException | InterruptedException e) {
                 violations.add(name + ": " + e);
@@ -134,7 +134,7 @@
                 for (int i = random.nextInt(4); i >= 0; i--) {
                     String id = name + "-" + endOffsets.size();
                     batch.append(InProcessGateway.request(id));
-                    endOffsets.put(id, written + batch.length());
+                    endOffsets.put(id, bytesWritten + batch.length());
                 }
                 writeInParts(client, batch.toString());
                 awaitResponses(client, endOffsets.size() - random.nextInt(3));
@@ -148,7 +148,7 @@
                         ? text.length()
                         : Math.min(text.length(), start + 1 + random.nextInt(text.length()));
                 client.write(text.substring(start, end));
-                written += end - start;
+                bytesWritten += end - start;
                 start = end;
                 Thread.sleep(random.nextInt(3));
             }
@@ -157,7 +157,7 @@
         private void awaitResponses(Client client, int count) throws IOException {
             List<String> ids = new ArrayList<>(endOffsets.keySet());
             while (responses < count) {
-                String response = StubServer.resp(client.in);
+                String response = StubServer.readResp(client.in);
                 String id = ids.get(responses++);
                 if (!response.equals(id) && !response.startsWith("-BUSY") && !response.equals("-ERR failed")) {
                     violations.add(id + " got " + response);
@@ -165,8 +165,8 @@
             }
         }
 
-        /** Disconnects with requests in flight, one of them perhaps half sent. */
-        private void leave(Client client) throws IOException, InterruptedException {
+        /** Disconnects with requests in flight, one of them possibly incomplete. */
+        private void disconnect(Client client) throws IOException, InterruptedException {
             String id = name + "-last";
             String request = InProcessGateway.request(id);
             client.write(request.substring(0, random.nextInt(request.length())));
@@ -174,12 +174,12 @@
                 client.socket.setSoLinger(true, 0);
             }
             client.close();
-            double leftAt = nowMs();
+            double disconnectedAt = nowMs();
             Thread.sleep(600);
             for (String sent : endOffsets.keySet()) {
-                double afterMs = lastReceivedAt.getOrDefault(sent, 0.0) - leftAt;
+                double afterMs = lastReceivedAt.getOrDefault(sent, 0.0) - disconnectedAt;
                 if (afterMs > MAX_MS_AFTER_DISCONNECT) {
-                    violations.add(sent + " was sent " + afterMs + " ms after its client had left");
+                    violations.add(sent + " was sent " + afterMs + " ms after its client had disconnected");
                 }
             }
             if (lastReceivedAt.containsKey(id)) {
@@ -187,32 +187,32 @@
             }
         }
 
-        /** The gateway has closed the connection: it must not have read a request without a response. */
-        private void checkClosed(int port) {
-            long read = gateway.channels.bytesReadByPort.getOrDefault(port, 0L);
+        /** Checks that the gateway, which has closed the connection, answered every request that it read. */
+        private void checkRequestsReadAreAnswered(int port) {
+            long bytesRead = gateway.channels.bytesReadByPort.getOrDefault(port, 0L);
             int index = 0;
             for (Map.Entry<String, Long> request : endOffsets.entrySet()) {
-                if (index++ >= responses && request.getValue() <= read) {
+                if (index++ >= responses && request.getValue() <= bytesRead) {
                     violations.add(request.getKey() + " was read and got no response");
                 }
             }
         }
     }
 
-    /** Closes connections; the event loop is held up again and again, so that it finds many events at once. */
+    /** Closes connections while the event loop is blocked repeatedly, so that it finds many events at once. */
     private static void closeGracefully(InProcessGateway gateway, List<Thread> threads, Random random)
             throws Exception {
-        gateway.run(gateway.frontend()::leave);
+        gateway.run(gateway.frontend()::startDraining);
         while (threads.stream().anyMatch(Thread::isAlive)) {
-            gateway.holdWhile(() -> Thread.sleep(random.nextInt(20)));
-            EventLoopTasks.awaitPass(gateway.loop());
-            gateway.run(() -> gateway.frontend().finishIdle(false));
+            gateway.blockLoopDuring(() -> Thread.sleep(random.nextInt(20)));
+            EventLoopTasks.awaitIteration(gateway.loop());
+            gateway.run(() -> gateway.frontend().closeIdleConnections(false));
         }
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
-    void everyRequestThatWasReadIsAnsweredOnceUnlessItsClientHasGone(long seed) throws Exception {
+    void everyRequestReadIsAnsweredOnceUnlessItsClientDisconnects(long seed) throws Exception {
         Random random = new Random(seed);
         try (StubServer first = startEndpoint(random.nextLong());
                 StubServer second = startEndpoint(random.nextLong());
--- a/gateway/src/test/java/stonelb/gateway/SimulatorCommandTest.java
+++ b/gateway/src/test/java/stonelb/gateway/SimulatorCommandTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** The program takes the argument that the deploy file's {@code sim} command starts it with. */
+/** The program must accept the argument that the deploy file's {@code sim} command passes. */
 class SimulatorCommandTest {
     private static final String EMPTY_BATCH = "0c000000" + "00000000206ec040" + "00000000"; // length, clock, records
     private static final String EMPTY_REPLY = "00000000";
--- a/gateway/src/test/java/stonelb/gateway/WarmUpTest.java
+++ b/gateway/src/test/java/stonelb/gateway/WarmUpTest.java
@@ -16,7 +16,7 @@
 import stonelb.standins.GatewayProcess;
 import stonelb.standins.StubPlatform;
 
-/** The warm-up's requests are served to the end and reach nothing outside the process. */
+/** The warm-up's requests must be served, but must not reach endpoints, counter or log. */
 class WarmUpTest {
     @TempDir
     Path folder;
@@ -25,21 +25,24 @@
     void syntheticRequestsAreServedAndNeverLeaveTheProcess() throws Exception {
         try (StubPlatform platform = new StubPlatform()) {
             Path file = folder.resolve("config.json");
-            Files.writeString(file, platform.config("127.0.0.1:0", GatewayProcess.OPEN + "," + GatewayProcess.FIVE));
+            Files.writeString(
+                    file,
+                    platform.config(
+                            "127.0.0.1:0", GatewayProcess.UNLIMITED_PLAN + "," + GatewayProcess.FIVE_UNIT_PLAN));
             Configuration config = Configuration.read(Map.of("PROXY_CONFIG", file.toString()));
             RateLimitedLog log = new RateLimitedLog();
             EventLoop loop = new EventLoop(log);
-            CompletableFuture<WarmUp> done = new CompletableFuture<>();
-            loop.execute(() -> done.complete(WarmUp.run(config, loop, log)));
-            WarmUp warmUp = done.get(20, TimeUnit.SECONDS);
+            CompletableFuture<WarmUp> completed = new CompletableFuture<>();
+            loop.execute(() -> completed.complete(WarmUp.run(config, loop, log)));
+            WarmUp warmUp = completed.get(20, TimeUnit.SECONDS);
             assertTrue(
-                    warmUp.requestsSent() > 0 && warmUp.requestsServed() > 0,
-                    warmUp.requestsSent() + " sent, " + warmUp.requestsServed() + " served");
+                    warmUp.requestsSent() > 0 && warmUp.attemptsServed() > 0,
+                    warmUp.requestsSent() + " sent, " + warmUp.attemptsServed() + " served");
 
             try (GatewayProcess program = new GatewayProcess(folder, Files.readString(file), null);
                     GatewayProcess.Client client = new GatewayProcess.Client(program.port("RESP2 requests"))) {
-                assertEquals("+PONG", client.ask("PING"));
-                assertEquals(0, platform.raw.size() + platform.added.size());
+                assertEquals("+PONG", client.call("PING"));
+                assertEquals(0, platform.receivedRequests.size() + platform.counterCalls.size());
                 assertEquals(1, program.log().size(), program.log().toString());
             }
         }
--- a/gateway/src/test/java/stonelb/gateway/ZonesTest.java
+++ b/gateway/src/test/java/stonelb/gateway/ZonesTest.java
@@ -18,7 +18,7 @@
 import stonelb.standins.GatewayProcess;
 import stonelb.standins.StubPlatform;
 
-/** A gateway must start where a fleet has no zones, or others than its settings name. */
+/** A gateway must accept endpoints without zones, and endpoints in zones that its settings do not name. */
 class ZonesTest {
     @TempDir
     Path folder;
@@ -26,7 +26,7 @@
     private EndpointList endpointList;
     private final List<Integer> zoneNumbers = new ArrayList<>();
 
-    /** The zone numbers that endpoints in the given zones get. */
+    /** Returns the zone numbers assigned to endpoints in the given zones. */
     private List<Integer> zoneNumbersFor(String settings, String... endpointZones) throws Exception {
         StringBuilder list = new StringBuilder();
         for (String zone : endpointZones) {
@@ -40,7 +40,8 @@
         try (StubPlatform platform = new StubPlatform()) {
             Files.writeString(
                     folder.resolve("config.json"),
-                    platform.config("127.0.0.1:0", GatewayProcess.OPEN).replace("\"azs\":[\"a\"],", settings));
+                    platform.config("127.0.0.1:0", GatewayProcess.UNLIMITED_PLAN)
+                            .replace("\"azs\":[\"a\"],", settings));
         }
         Configuration config = Configuration.read(
                 Map.of("PROXY_CONFIG", folder.resolve("config.json").toString()));
@@ -48,7 +49,7 @@
         endpointList = new EndpointList(
                 config.zones(),
                 new EndpointStartTimes(() -> 0, () -> 0),
-                (mode, servers) -> servers.forEach(s -> zoneNumbers.add(s.zone())),
+                (type, endpoints) -> endpoints.forEach(endpoint -> zoneNumbers.add(endpoint.zone())),
                 new EndpointConnections(null, null, 0, 0, 0, 0));
         endpointList.loadCached(new Gson().fromJson("{\"index\":1,\"endpoints\":[" + list + "]}", JsonObject.class));
         return zoneNumbers;
--- a/gateway/src/test/java/stonelb/gateway/endpoint/EndpointConnectTest.java
+++ b/gateway/src/test/java/stonelb/gateway/endpoint/EndpointConnectTest.java
@@ -16,7 +16,7 @@
 import stonelb.standins.GatewayProcess;
 import stonelb.standins.StubServer;
 
-/** How connections to endpoints are opened: failures, deadlines and the limit on their number. */
+/** Tests how connections to endpoints are opened: failures, deadlines and the limit on their number. */
 class EndpointConnectTest extends EndpointConnectionsFixture {
     /** A request must not be written to a connection that is reset right after the accept. */
     @Test
@@ -37,13 +37,13 @@
             closer.start();
             start(listener);
             loop.execute(() -> requests.submit(new NonIdempotentRequest()));
-            assertEquals("refused", results.poll(20, TimeUnit.SECONDS));
+            assertEquals("rejected", results.poll(20, TimeUnit.SECONDS));
         }
     }
 
     /** Connections to many endpoints must leave file descriptors for discovery and the quota counter. */
     @Test
-    void connectionsToManyEndpointsStayWithinTheLimit() throws Exception {
+    void connectionsToManyEndpointsStayWithinLimit() throws Exception {
         AtomicInteger maxOpen = new AtomicInteger();
         int maxConnections = 6;
         try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
@@ -74,28 +74,28 @@
             });
             acceptor.setDaemon(true);
             acceptor.start();
-            runningSince = System.nanoTime();
+            clockRunningSinceNanos = System.nanoTime();
             start(listener, 40, maxConnections);
             for (int i = 0; i < 60; i++) {
-                // A connection is idle 10 ms after its response; until then all six may be in use, and the next request
-                // would be rejected.
+                // A connection becomes idle 10 ms after its response; until then all six may be in use, and the next
+                // request would be rejected.
                 loop.execute(() -> loop.timers()
                         .scheduleAfter(20, (now, token) -> requests.submit(new NonIdempotentRequest()), 0));
                 assertEquals("failed", results.poll(20, TimeUnit.SECONDS));
             }
-            // A connection that the gateway has closed may still count as open there.
+            // The test may still count a connection as open that the gateway has closed.
             assertTrue(
                     maxOpen.get() <= 2 * maxConnections,
                     maxOpen.get() + " connections at a time, limit " + maxConnections);
         }
     }
 
-    /** No socket, port or route can be had for a moment: a request must not use up all its attempts in that moment. */
+    /** While the host briefly has no free socket, port or route, a request must not use up all its attempts. */
     @Test
-    void connectsThatFailHereAreRepeated() throws Exception {
+    void locallyFailedConnectsAreRetried() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             listener.setSoTimeout(20_000);
-            runningSince = System.nanoTime();
+            clockRunningSinceNanos = System.nanoTime();
             start(listener);
             channels.failingSockets.set(2);
             channels.failingConnects.set(6);
@@ -107,18 +107,18 @@
         }
     }
 
-    /** A request is not rejected while all connections are in use: it waits for one that becomes idle. */
+    /** While all connections are in use, a request must wait for one to become idle instead of being rejected. */
     @Test
-    void attemptAtTheLimitWaitsForAConnection() throws Exception {
+    void attemptAtConnectionLimitWaitsForIdleConnection() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             listener.setSoTimeout(20_000);
-            runningSince = System.nanoTime();
+            clockRunningSinceNanos = System.nanoTime();
             start(listener, 2, 1);
             loop.execute(() -> requests.submit(new NonIdempotentRequest()));
             Socket first = listener.accept();
             assertEquals('x', first.getInputStream().read());
             loop.execute(() -> requests.submit(new NonIdempotentRequest()));
-            EventLoopTasks.awaitPass(loop);
+            EventLoopTasks.awaitIteration(loop);
             StubServer.write(first.getOutputStream(), "*1\r\n$5\r\nfirst\r\n");
             assertEquals("first", results.poll(20, TimeUnit.SECONDS));
             Socket second = listener.accept();
@@ -128,27 +128,30 @@
         }
     }
 
-    /** An attempt that waits at the limit was never sent: it ends in time for another endpoint, and proves no effect. */
+    /**
+     * An attempt that waits at the connection limit must end early enough for another endpoint to be tried. It was
+     * never sent, so its request counts as not executed.
+     */
     @Test
-    void attemptAtTheLimitIsGivenBackInTime() throws Exception {
+    void attemptAtConnectionLimitEndsUnsentInTime() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             listener.setSoTimeout(20_000);
-            runningSince = System.nanoTime();
+            clockRunningSinceNanos = System.nanoTime();
             start(listener, 2, 1);
             loop.execute(() -> requests.submit(new NonIdempotentRequest()));
             Socket first = listener.accept();
             assertEquals('x', first.getInputStream().read());
-            long begun = System.nanoTime();
+            long startedAt = System.nanoTime();
             loop.execute(() -> requests.submit(new NonIdempotentRequest()));
-            assertEquals("refused", results.poll(20, TimeUnit.SECONDS));
-            double tookMs = (System.nanoTime() - begun) / 1e6;
-            assertTrue(tookMs > 150 && tookMs < 5000, "its attempts took " + tookMs + " ms");
+            assertEquals("rejected", results.poll(20, TimeUnit.SECONDS));
+            double elapsedMs = (System.nanoTime() - startedAt) / 1e6;
+            assertTrue(elapsedMs > 150 && elapsedMs < 5000, "its attempts took " + elapsedMs + " ms");
             StubServer.write(first.getOutputStream(), "*1\r\n$5\r\nfirst\r\n");
             assertEquals("first", results.poll(20, TimeUnit.SECONDS));
         }
     }
 
-    /** The request's deadline has passed when its connection comes up. */
+    /** A request whose deadline passes while its connection is being opened must not be written. */
     @Test
     void attemptWhoseDeadlinePassedWhileConnectingIsNotWritten() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
@@ -160,7 +163,7 @@
             loop.execute(() -> loop.wakeAt(loop.now()));
             assertEquals("failed", results.poll(20, TimeUnit.SECONDS));
             CompletableFuture<Integer> firstByte = CompletableFuture.supplyAsync(() -> read(socket));
-            GatewayProcess.until("the idle connection is closed", () -> {
+            GatewayProcess.awaitCondition("the idle connection is closed", () -> {
                 clock.addAndGet(1000);
                 loop.execute(() -> loop.wakeAt(loop.now()));
                 return firstByte.isDone();
--- a/gateway/src/test/java/stonelb/gateway/endpoint/EndpointConnectionsFixture.java
+++ b/gateway/src/test/java/stonelb/gateway/endpoint/EndpointConnectionsFixture.java
@@ -31,18 +31,18 @@
 import stonelb.testing.FaultyChannels;
 
 /**
- * Connections to endpoints that the test serves, on a clock that it moves, so that quiet periods end only when it says, for the
- * tests that extend it.
+ * Base class of tests of connections to endpoints. The test serves the endpoints and controls the clock, and thereby
+ * when quiet periods end.
  */
 abstract class EndpointConnectionsFixture {
     final BlockingQueue<String> results = new LinkedBlockingQueue<>();
     final AtomicLong clock = new AtomicLong(1_000_000); // in milliseconds
-    volatile long runningSince; // 0: the clock is stopped
+    volatile long clockRunningSinceNanos; // 0: the clock is stopped
     volatile Runnable onServed = () -> {};
     final FaultyChannels channels = new FaultyChannels();
     final EventLoop loop = new EventLoop(
             new RateLimitedLog(),
-            () -> clock.get() + (runningSince == 0 ? 0 : (System.nanoTime() - runningSince) / 1e6),
+            () -> clock.get() + (clockRunningSinceNanos == 0 ? 0 : (System.nanoTime() - clockRunningSinceNanos) / 1e6),
             channels);
     EndpointConnections connections;
     RequestTable requests;
@@ -57,7 +57,7 @@
         start(listener, 1, 64);
     }
 
-    /** Starts the connections with so many endpoints, all at the listener. */
+    /** Starts the connections with the given number of endpoints, all at the listener. */
     void start(ServerSocket listener, int endpoints, int maxConnections) {
         loop.execute(() -> {
             connections = new EndpointConnections(
@@ -77,9 +77,9 @@
                     7,
                     loop.timers(),
                     connections,
-                    (name, amount, keep) -> {},
+                    (name, amount, keepMs) -> {},
                     e -> results.add(e.toString()));
-            connections.begin(requests);
+            connections.start(requests);
             List<Endpoint> endpointList = new ArrayList<>();
             for (int i = 1; i <= endpoints; i++) {
                 connections.addressChanged(i, "s" + i, (InetSocketAddress) listener.getLocalSocketAddress(), true, 0);
@@ -114,7 +114,7 @@
         }
 
         @Override
-        public void writeTo(ByteBuf out, long leftMs, String authority) {
+        public void writeTo(ByteBuf out, long remainingMs, String authority) {
             out.writeCharSequence(text, StandardCharsets.US_ASCII);
         }
 
@@ -130,7 +130,7 @@
 
         @Override
         protected void rejected(double retryAfterMs) {
-            results.add("refused");
+            results.add("rejected");
         }
 
         @Override
--- a/gateway/src/test/java/stonelb/gateway/endpoint/EndpointConnectionsTest.java
+++ b/gateway/src/test/java/stonelb/gateway/endpoint/EndpointConnectionsTest.java
@@ -12,14 +12,14 @@
 import stonelb.gateway.testing.EventLoopTasks;
 import stonelb.standins.StubServer;
 
-/** Responses on connections to endpoints, and when a connection is used again. */
+/** Tests how responses are matched to requests, and when a connection is reused. */
 class EndpointConnectionsTest extends EndpointConnectionsFixture {
-    /** The surplus response arrives within the quiet period, but the busy event loop reads it only after its end. */
+    /** A surplus response arrives within the quiet period, but the event loop is busy and reads it only afterwards. */
     @Test
-    void surplusResponseUnreadByLateLoopIsNotTakenForTheNext() throws Exception {
+    void surplusResponseReadAfterDelayIsNotMatchedToNextRequest() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             listener.setSoTimeout(20_000);
-            runningSince = System.nanoTime();
+            clockRunningSinceNanos = System.nanoTime();
             start(listener);
             loop.execute(() -> requests.submit(new NonIdempotentRequest()));
             Socket first = listener.accept();
@@ -31,8 +31,8 @@
                     results.add(e.toString());
                 }
                 loop.execute(() -> requests.submit(new NonIdempotentRequest()));
-                clock.addAndGet(10); // the quiet period passes here,
-                loop.wakeAt(loop.now()); // and the event loop runs its timers before it reads anything
+                clock.addAndGet(10); // the quiet period ends
+                loop.wakeAt(loop.now()); // and the event loop runs its timers before it reads any input
             };
             assertEquals('x', first.getInputStream().read());
             StubServer.write(first.getOutputStream(), "*1\r\n$5\r\nfirst\r\n");
@@ -50,14 +50,14 @@
     void responseWithoutLengthThatIsResetIsNotForwarded() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             listener.setSoTimeout(20_000);
-            runningSince = System.nanoTime();
+            clockRunningSinceNanos = System.nanoTime();
             start(listener);
             for (boolean reset : new boolean[] {false, true}) {
                 loop.execute(() -> requests.submit(new NonIdempotentRequest(OutboundRequest.Protocol.HTTP)));
                 try (Socket socket = listener.accept()) {
                     assertEquals('x', socket.getInputStream().read());
                     StubServer.write(socket.getOutputStream(), "HTTP/1.1 200 OK\r\n\r\npart");
-                    EventLoopTasks.awaitPass(loop);
+                    EventLoopTasks.awaitIteration(loop);
                     socket.setSoLinger(reset, 0);
                 }
                 assertEquals(reset ? "failed" : "part", results.poll(20, TimeUnit.SECONDS));
@@ -65,12 +65,12 @@
         }
     }
 
-    /** Discovery may report a restart with an earlier time than the start before, where its clock was set back. */
+    /** If discovery's clock was set back, the start time after a restart may be earlier than the previous one. */
     @Test
-    void connectionToAnEarlierProcessIsNotReusedWhereTheStartWentBack() throws Exception {
+    void connectionToEarlierProcessIsNotReusedWhenStartTimeGoesBack() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             listener.setSoTimeout(20_000);
-            runningSince = System.nanoTime();
+            clockRunningSinceNanos = System.nanoTime();
             start(listener);
             InetSocketAddress address = (InetSocketAddress) listener.getLocalSocketAddress();
             loop.execute(() -> connections.addressChanged(1, "s1", address, true, 900_000));
@@ -83,7 +83,7 @@
             loop.execute(() -> connections.addressChanged(1, "s1", address, true, 900_000));
             loop.execute(() ->
                     loop.timers().scheduleAfter(20, (now, token) -> requests.submit(new NonIdempotentRequest()), 0));
-            assertEquals('x', earlier.getInputStream().read(), "the same process is used again");
+            assertEquals('x', earlier.getInputStream().read(), "the connection to the same process is reused");
             StubServer.write(earlier.getOutputStream(), "*1\r\n$5\r\nagain\r\n");
             assertEquals("again", results.poll(20, TimeUnit.SECONDS));
             loop.execute(() -> connections.addressChanged(1, "s1", address, true, 800_000));
@@ -97,12 +97,15 @@
         }
     }
 
-    /** The endpoint answers before it has read all of a request; the rest must not precede the next request. */
+    /**
+     * If an endpoint responds before it has read all of a request, the rest must not be sent ahead of the next
+     * request.
+     */
     @Test
-    void connectionWithAnUnfinishedRequestIsNotUsedAgain() throws Exception {
+    void connectionWithPartiallyWrittenRequestIsNotReused() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             listener.setSoTimeout(20_000);
-            runningSince = System.nanoTime();
+            clockRunningSinceNanos = System.nanoTime();
             start(listener);
             channels.writeBudget.set(1);
             loop.execute(() -> requests.submit(new NonIdempotentRequest(OutboundRequest.Protocol.RESP, "xyz")));
--- a/gateway/src/test/java/stonelb/gateway/frontend/ResponseWriterTest.java
+++ b/gateway/src/test/java/stonelb/gateway/frontend/ResponseWriterTest.java
@@ -11,7 +11,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** Responses wait, in their order, for a socket that takes them and for memory. */
+/** Responses are written in order, and wait while the socket is not writable or memory is exhausted. */
 class ResponseWriterTest {
     private final EmbeddedChannel channel = new EmbeddedChannel();
     private final StringBuilder written = new StringBuilder();
@@ -20,8 +20,8 @@
 
     private final class RecordingOutput implements ResponseWriter.Output {
         private boolean writable = true;
-        private int failingBuffers;
-        private int outOfMemory;
+        private int buffersToFail;
+        private int outOfMemoryCalls;
 
         @Override
         public double now() {
@@ -35,8 +35,8 @@
 
         @Override
         public ByteBuf newBuffer(int bytes) {
-            if (failingBuffers > 0) {
-                failingBuffers--;
+            if (buffersToFail > 0) {
+                buffersToFail--;
                 throw new OutOfMemoryError("no network buffer");
             }
             return Unpooled.buffer(bytes);
@@ -44,14 +44,14 @@
 
         @Override
         public void onOutOfMemory() {
-            outOfMemory++;
+            outOfMemoryCalls++;
         }
 
         @Override
         public void beforeLastResponse() {}
 
         @Override
-        public void afterResponsesTaken() {}
+        public void afterResponsesDequeued() {}
 
         @Override
         public ChannelFuture write(ByteBuf out) {
@@ -70,8 +70,8 @@
         return out -> out.writeCharSequence(text, StandardCharsets.US_ASCII);
     }
 
-    /** Fails for want of memory once it has written a part of itself. */
-    private static CompletedResponse failingOnce(String text) {
+    /** A response whose first write runs out of memory after part of it was written. */
+    private static CompletedResponse responseFailingOnce(String text) {
         boolean[] failed = new boolean[1];
         return out -> {
             out.writeCharSequence(text, StandardCharsets.US_ASCII);
@@ -84,12 +84,12 @@
 
     @Test
     void responsesWaitForABufferAndAreWrittenInOrder() {
-        output.failingBuffers = 1;
+        output.buffersToFail = 1;
         writer.add(response("a"));
         writer.add(response("b"));
         writer.writeReady();
         assertEquals("", written.toString());
-        assertEquals(1, output.outOfMemory);
+        assertEquals(1, output.outOfMemoryCalls);
         assertFalse(writer.isFlushed());
         writer.writeReady();
         assertEquals("ab", written.toString());
@@ -98,19 +98,19 @@
     }
 
     @Test
-    void aResponseThatOutgrowsTheMemoryIsWrittenWholeLater() {
+    void responseThatRunsOutOfMemoryIsRewrittenCompletely() {
         writer.add(response("a"));
-        writer.add(failingOnce("b"));
+        writer.add(responseFailingOnce("b"));
         writer.add(response("c"));
         writer.writeReady();
         assertEquals("a", written.toString());
-        assertEquals(1, output.outOfMemory);
+        assertEquals(1, output.outOfMemoryCalls);
         writer.writeReady();
         assertEquals("abc", written.toString());
     }
 
     @Test
-    void nothingIsTakenOffTheQueueWhileTheSocketIsFull() {
+    void responsesStayQueuedWhileTheSocketIsNotWritable() {
         output.writable = false;
         writer.add(response("a"));
         writer.writeReady();
--- a/gateway/src/test/java/stonelb/gateway/resp/RespParserTest.java
+++ b/gateway/src/test/java/stonelb/gateway/resp/RespParserTest.java
@@ -18,14 +18,17 @@
 import org.junit.jupiter.api.Test;
 import stonelb.io.InputBuffer;
 import stonelb.io.MalformedInputException;
-import stonelb.testing.RandomCuts;
+import stonelb.testing.RandomFragments;
 
-/** Values that arrive in fragments of random length, malformed input, and the limits. */
+/**
+ * Parsing of values that arrive in fragments of random length, and rejection of malformed input and of values beyond
+ * the limits.
+ */
 class RespParserTest {
 
-    private static RandomCuts.Step parseInto(RespParser parser, List<Object> values) {
+    private static RandomFragments.ParseStep parseInto(RespParser parser, List<Object> values) {
         return in -> {
-            for (Object value = parser.next(in); value != RespParser.MORE; value = parser.next(in)) {
+            for (Object value = parser.next(in); value != RespParser.INCOMPLETE; value = parser.next(in)) {
                 values.add(value);
             }
         };
@@ -42,7 +45,7 @@
         }
         List<Object> values = new ArrayList<>();
         RespParser parser = new RespParser();
-        RandomCuts.feed(ByteBufUtil.getBytes(out), seed, parseInto(parser, values));
+        RandomFragments.feed(ByteBufUtil.getBytes(out), seed, parseInto(parser, values));
         assertFalse(parser.isMidMessage());
         assertEquals(commands.size(), values.size());
         for (int i = 0; i < commands.size(); i++) {
@@ -51,25 +54,26 @@
     }
 
     @Property(seed = "42", tries = 500)
-    void garbageIsRejectedWithAMessage(@ForAll byte[] garbage, @ForAll long seed, @ForAll boolean protocolCharacters) {
+    void malformedInputIsRejectedWithAMessage(
+            @ForAll byte[] input, @ForAll long seed, @ForAll boolean protocolCharacters) {
         String characters = "*$+-:0123456789\r\n";
-        for (int i = 0; protocolCharacters && i < garbage.length; i++) {
-            garbage[i] = (byte) characters.charAt(Math.floorMod(garbage[i], characters.length()));
+        for (int i = 0; protocolCharacters && i < input.length; i++) {
+            input[i] = (byte) characters.charAt(Math.floorMod(input[i], characters.length()));
         }
-        assertTrue(RandomCuts.survives(garbage, seed, parseInto(new RespParser(), new ArrayList<>())));
+        assertTrue(RandomFragments.acceptsOrRejects(input, seed, parseInto(new RespParser(), new ArrayList<>())));
     }
 
     @Test
     void parsesNullsNestingAndLines() throws MalformedInputException {
         List<Object> values = new ArrayList<>();
-        RandomCuts.feed(
+        RandomFragments.feed(
                 "*3\r\n$1\r\na\r\n$-1\r\n*1\r\n:7\r\n-BUSY 5\r\n*0\r\n".getBytes(StandardCharsets.US_ASCII),
                 1,
                 parseInto(new RespParser(), values));
         List<?> first = (List<?>) values.get(0);
         assertEquals(RespParser.NULL, first.get(1));
         assertEquals(List.of(7L), first.get(2));
-        assertEquals(new RespParser.Fault("BUSY 5"), values.get(1));
+        assertEquals(new RespParser.SimpleError("BUSY 5"), values.get(1));
         assertEquals(List.of(), values.get(2));
     }
 
--- a/gateway/src/test/java/stonelb/gateway/testing/InProcessGateway.java
+++ b/gateway/src/test/java/stonelb/gateway/testing/InProcessGateway.java
@@ -30,8 +30,8 @@
 import stonelb.testing.SteppingClock;
 
 /**
- * The network code of a gateway in this process, with the platform's frontend and endpoints that the test serves, on
- * channels that fail on command and a clock that steps. Customers have no quota.
+ * Runs the network code of a gateway in this process, with the platform's frontend and endpoints that the test
+ * serves. The test can inject channel failures and advance the clock. Customers have no quota.
  */
 public final class InProcessGateway implements AutoCloseable {
     private static final long TIMEOUT_S = 20;
@@ -44,16 +44,16 @@
     /** The clock of the event loop. */
     public final SteppingClock clock = new SteppingClock();
 
-    /** What the gateway has logged. */
+    /** The log lines of the gateway. */
     public final List<String> logLines = new CopyOnWriteArrayList<>();
 
-    /** The attempts that were started, as the request table handed them to the connections. */
+    /** The started attempts, in the order in which the request table passed them to the connections. */
     public final BlockingQueue<Attempt> startedAttempts = new LinkedBlockingQueue<>();
 
     /** The attempts that were abandoned. */
     public final BlockingQueue<Attempt> abandonedAttempts = new LinkedBlockingQueue<>();
 
-    /** Called on the event loop after each start of an attempt. */
+    /** Called on the event loop after each attempt was started. */
     public volatile Runnable onStarted = () -> {};
 
     private final RateLimitedLog log = new RateLimitedLog(logLines::add);
@@ -66,12 +66,13 @@
     /**
      * Starts a gateway.
      *
-     * @param folder where its configuration is written
+     * @param folder the folder in which the configuration is written
      * @param endpointPorts the port of 127.0.0.1 of each endpoint
      */
     public InProcessGateway(Path folder, int... endpointPorts) throws Exception {
         try (StubPlatform platform = new StubPlatform()) {
-            Files.writeString(folder.resolve("config.json"), platform.config("127.0.0.1:0", GatewayProcess.OPEN));
+            Files.writeString(
+                    folder.resolve("config.json"), platform.config("127.0.0.1:0", GatewayProcess.UNLIMITED_PLAN));
         }
         configuration = Configuration.read(
                 Map.of("PROXY_CONFIG", folder.resolve("config.json").toString()));
@@ -89,7 +90,7 @@
                 recordingConnector(connections),
                 (name, amount, keepMs) -> {},
                 log::internalError);
-        connections.begin(requests);
+        connections.start(requests);
         List<Endpoint> endpoints = new ArrayList<>();
         for (int endpointPort : endpointPorts) {
             long id = endpoints.size() + 1L;
@@ -118,7 +119,7 @@
         };
     }
 
-    /** The event loop, to which the components belong. */
+    /** The event loop that owns the components. */
     public EventLoop loop() {
         return loop;
     }
@@ -138,55 +139,64 @@
         return port;
     }
 
-    /** Connects a client, which the gateway has accepted when this returns. */
+    /** Connects a client and waits until the gateway has accepted it. */
     public Client connectClient() throws Exception {
         Client client = new Client(port);
-        client.ask("PING");
+        client.call("PING");
         return client;
     }
 
-    /** Runs a step on the event loop and waits for it. */
-    public void run(Runnable step) throws Exception {
-        EventLoopTasks.run(loop, step);
+    /** Runs a task on the event loop and waits for it. */
+    public void run(Runnable task) throws Exception {
+        EventLoopTasks.run(loop, task);
     }
 
-    /** What happens outside while the event loop is held up. */
-    public interface Step {
+    /** An action of the test while the event loop is blocked. */
+    public interface ExternalAction {
         /** Runs on the thread of the test. */
         void run() throws Exception;
     }
 
-    /** Holds the event loop up while a step runs, so that the loop finds all that the step did at once. */
-    public void holdWhile(Step step) throws Exception {
-        holdWhile(step, () -> {});
+    /**
+     * Blocks the event loop while an action runs, so that the loop handles all effects of the action in one
+     * iteration.
+     */
+    public void blockLoopDuring(ExternalAction action) throws Exception {
+        blockLoopDuring(action, () -> {});
     }
 
-    /** The same; {@code then} runs on the event loop before it reads anything. */
-    public void holdWhile(Step step, Runnable then) throws Exception {
-        CompletableFuture<Void> held = new CompletableFuture<>();
+    /**
+     * Blocks the event loop while an action runs, then runs {@code beforeRead} on the loop before it reads any input.
+     */
+    public void blockLoopDuring(ExternalAction action, Runnable beforeRead) throws Exception {
+        CompletableFuture<Void> loopBlocked = new CompletableFuture<>();
         CompletableFuture<Void> released = new CompletableFuture<>();
-        CompletableFuture<Void> after = CompletableFuture.runAsync(
+        CompletableFuture<Void> finished = CompletableFuture.runAsync(
                 () -> {
-                    held.complete(null);
+                    loopBlocked.complete(null);
                     released.join();
-                    then.run();
+                    beforeRead.run();
                 },
                 loop::execute);
-        held.get(TIMEOUT_S, TimeUnit.SECONDS);
+        loopBlocked.get(TIMEOUT_S, TimeUnit.SECONDS);
         try {
-            step.run();
+            action.run();
         } finally {
             released.complete(null);
         }
-        after.get(TIMEOUT_S, TimeUnit.SECONDS);
+        finished.get(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     /** An idempotent request in RESP2 whose client waits for 9 s; its body is its id. */
     public static String request(String id) {
-        String[] words = {"Q.ASK", "0000000000000001", id, "c=read,t=open,d=9000,units=1,spread=1,first=0", id};
-        StringBuilder text = new StringBuilder("*" + words.length + "\r\n");
-        for (String word : words) {
-            text.append('$').append(word.length()).append("\r\n").append(word).append("\r\n");
+        String[] arguments = {"Q.ASK", "0000000000000001", id, "c=read,t=open,d=9000,units=1,spread=1,first=0", id};
+        StringBuilder text = new StringBuilder("*" + arguments.length + "\r\n");
+        for (String argument : arguments) {
+            text.append('$')
+                    .append(argument.length())
+                    .append("\r\n")
+                    .append(argument)
+                    .append("\r\n");
         }
         return text.toString();
     }
--- a/proxy/src/main/java/stonelb/proxy/ProxiedRequest.java
+++ b/proxy/src/main/java/stonelb/proxy/ProxiedRequest.java
@@ -17,9 +17,9 @@
 import stonelb.follower.ProxyRequest;
 import stonelb.follower.UpstreamEndpoint;
 
-/** A client's request, from its arrival to its one response. */
+/** A client's request, from its arrival to its single response. */
 final class ProxiedRequest {
-    /** Header, in lower case, that says for how many milliseconds the sender still waits for a response. */
+    /** Request header, in lower case, with the time in milliseconds that the client still waits for a response. */
     static final String TIME_LEFT_HEADER = "x-time-left-ms";
 
     private static final double MILLIS_PER_SECOND = 1000;
@@ -37,9 +37,9 @@
     /**
      * Reads a request with its body.
      *
-     * @param exchange the exchange of the HTTP server
-     * @param responseWriters runs the writing of the response
-     * @throws IOException if the client fails while the body is read
+     * @param exchange exchange of the HTTP server
+     * @param responseWriters executor that writes the response
+     * @throws IOException if reading the body from the client fails
      */
     ProxiedRequest(HttpExchange exchange, Executor responseWriters) throws IOException {
         this.exchange = exchange;
@@ -51,7 +51,7 @@
         headers.put(":method", exchange.getRequestMethod());
     }
 
-    /** The request in the form on which the control client decides. */
+    /** Converts the request for {@link stonelb.follower.ControlClient#decide}. */
     ProxyRequest toProxyRequest() {
         return new ProxyRequest(method(), exchange.getRequestURI().getRawPath(), headers);
     }
@@ -60,7 +60,7 @@
         return exchange.getRequestMethod();
     }
 
-    /** Path and query as received, also where the request names its server before them (absolute form). */
+    /** Path and query as received; for a request target in absolute form, without scheme and authority. */
     String target() {
         URI uri = exchange.getRequestURI();
         return uri.getRawQuery() == null ? uri.getRawPath() : uri.getRawPath() + "?" + uri.getRawQuery();
@@ -85,12 +85,12 @@
         return endpoint;
     }
 
-    /** The time in milliseconds that the client and the route's time limit leave; negative once it has passed. */
+    /** Milliseconds left until the earlier of the client's deadline and the route's timeout; negative once past. */
     double remainingMs(ClusterRoute route, double nowMs) {
         return receivedAtMs + Math.min(route.timeoutMs(), clientTimeoutMs()) - nowMs;
     }
 
-    /** How long the client waits; infinite where it does not say, or nothing that can be read. */
+    /** The client's timeout; infinite if the header is missing or malformed. */
     private double clientTimeoutMs() {
         String timeLeft = headers.getOrDefault(TIME_LEFT_HEADER, "");
         return TIME_LEFT.matcher(timeLeft).matches() ? Double.parseDouble(timeLeft) : Double.POSITIVE_INFINITY;
@@ -107,23 +107,24 @@
     }
 
     /**
-     * Responds to the client. A worker writes the response, so that a client that does not read delays no other.
+     * Responds to the client. The response is written by a worker thread, so that a client that reads slowly does not
+     * delay others.
      *
      * @param status HTTP status code
      * @param retryAfterMs time for the Retry-After header in milliseconds, rounded up to seconds; 0 for no header
-     * @param responseBody the body, may be empty
+     * @param responseBody the body; may be empty
      */
     void respond(int status, double retryAfterMs, byte[] responseBody) {
         responseWriters.execute(() -> {
-            try (HttpExchange closing = exchange) {
-                Headers responseHeaders = closing.getResponseHeaders();
+            try (HttpExchange closedExchange = exchange) {
+                Headers responseHeaders = closedExchange.getResponseHeaders();
                 if (retryAfterMs > 0) {
                     long seconds = (long) Math.ceil(retryAfterMs / MILLIS_PER_SECOND);
                     responseHeaders.set("Retry-After", Long.toString(seconds));
                 }
-                closing.sendResponseHeaders(status, responseBody.length == 0 ? NO_BODY : responseBody.length);
+                closedExchange.sendResponseHeaders(status, responseBody.length == 0 ? NO_BODY : responseBody.length);
                 if (responseBody.length > 0) {
-                    closing.getResponseBody().write(responseBody);
+                    closedExchange.getResponseBody().write(responseBody);
                 }
             } catch (IOException e) {
                 // The client has disconnected.
--- a/proxy/src/main/java/stonelb/proxy/RequestForwarder.java
+++ b/proxy/src/main/java/stonelb/proxy/RequestForwarder.java
@@ -21,9 +21,9 @@
 import stonelb.follower.RoutingDecision;
 import stonelb.follower.UpstreamEndpoint;
 
-/** Forwards requests to endpoints, with the time limit and the retry policy of their route. */
+/** Forwards requests to endpoints, with the timeout and the retry policy of their route. */
 final class RequestForwarder {
-    /** Headers that concern one connection or are set by the HTTP client itself. */
+    /** Hop-by-hop headers and headers that the HTTP client sets itself. */
     private static final Set<String> NOT_FORWARDED_HEADERS =
             Set.of("connection", "host", "content-length", "transfer-encoding", "upgrade", "expect", "http2-settings");
 
@@ -59,11 +59,11 @@
 
     /** Sends the next attempt of a request. Runs on the control client's executor thread. */
     void forward(ProxiedRequest request, RoutingDecision.Forward decision) {
-        HttpRequest.Builder forwarded;
+        HttpRequest.Builder requestBuilder;
         try {
-            forwarded = copyOf(request);
+            requestBuilder = copyWithoutUri(request);
         } catch (IllegalArgumentException e) {
-            // The client sent something that must not be sent on, such as a control character in a header.
+            // The request can't be forwarded, for instance because of a control character in a header.
             request.respond(BAD_REQUEST);
             return;
         }
@@ -81,11 +81,11 @@
             return;
         }
         Attempt attempt = new Attempt(request, decision, endpoint, startedAtMs);
-        forwarded.setHeader(ProxiedRequest.TIME_LEFT_HEADER, Long.toString((long) remainingMs));
-        send(attempt, address(forwarded, request, endpoint), remainingMs);
+        requestBuilder.setHeader(ProxiedRequest.TIME_LEFT_HEADER, Long.toString((long) remainingMs));
+        send(attempt, buildWithUri(requestBuilder, request, endpoint), remainingMs);
     }
 
-    /** Sends an attempt. The timeout is that of the whole response; the HTTP client's own ends with the headers. */
+    /** Sends an attempt. The timeout covers the response body too; that of the HTTP client covers only the headers. */
     @SuppressWarnings("FutureReturnValueIgnored") // failures reach attemptEnded
     private void send(Attempt attempt, HttpRequest httpRequest, double timeoutMs) {
         CompletableFuture<HttpResponse<byte[]>> exchange =
@@ -100,19 +100,19 @@
                 });
     }
 
-    private static HttpRequest address(
-            HttpRequest.Builder forwarded, ProxiedRequest request, UpstreamEndpoint endpoint) {
-        return forwarded
+    private static HttpRequest buildWithUri(
+            HttpRequest.Builder requestBuilder, ProxiedRequest request, UpstreamEndpoint endpoint) {
+        return requestBuilder
                 .uri(URI.create("http://" + endpoint.address + ":" + endpoint.port + request.target()))
                 .build();
     }
 
     /**
-     * Copies a request without its address.
+     * Copies method, body and headers of a request, but not its URI.
      *
      * @throws IllegalArgumentException if its method or a header can't be sent
      */
-    private static HttpRequest.Builder copyOf(ProxiedRequest request) {
+    private static HttpRequest.Builder copyWithoutUri(ProxiedRequest request) {
         BodyPublisher body =
                 request.body().length == 0 ? BodyPublishers.noBody() : BodyPublishers.ofByteArray(request.body());
         HttpRequest.Builder builder = HttpRequest.newBuilder().method(request.method(), body);
@@ -124,7 +124,7 @@
         return builder;
     }
 
-    /** Counts the attempt, then retries or responds. Either {@code response} or {@code failure} is null. */
+    /** Records the result of an attempt, then retries or responds. Either {@code response} or {@code failure} is null. */
     private void attemptEnded(Attempt attempt, HttpResponse<byte[]> response, Throwable failure) {
         boolean success = response != null && response.statusCode() < FIRST_SERVER_ERROR;
         double latencyMs = failure == null ? MonotonicClock.nowMs() - attempt.startedAtMs() : NO_LATENCY;
@@ -149,7 +149,7 @@
         return notExecuted ? SERVICE_UNAVAILABLE : BAD_GATEWAY;
     }
 
-    /** Whether the endpoint certainly did not execute the request: it could not be reached, or it said so. */
+    /** Whether the request was provably not executed: the connection failed, or the endpoint's response states so. */
     private static boolean provesNotExecuted(HttpResponse<byte[]> response, Throwable failure) {
         if (response != null) {
             return response.headers().firstValue(UNPROCESSED_HEADER).isPresent();
--- a/proxy/src/main/java/stonelb/proxy/StandInProxy.java
+++ b/proxy/src/main/java/stonelb/proxy/StubProxy.java
@@ -11,10 +11,10 @@
 import stonelb.follower.RoutingDecision;
 
 /**
- * An HTTP/1.1 proxy on loopback that is configured by the control service. It applies routes, time limits, retries,
+ * An HTTP/1.1 proxy on loopback that is configured by the control service. It applies routes, timeouts, retries,
  * circuit breakers, weights, draining and quota assignments.
  */
-public final class StandInProxy implements AutoCloseable {
+public final class StubProxy implements AutoCloseable {
     private static final String LOOPBACK = "127.0.0.1";
     private static final int ACCEPT_BACKLOG = 512;
     private static final int TOO_MANY_REQUESTS = 429;
@@ -27,12 +27,12 @@
     /**
      * Listens on loopback and connects to the control service.
      *
-     * @param options how to reach the control service
-     * @param port port to listen on, 0 for a free one
+     * @param options address of the control service and node id of the proxy
+     * @param port port to listen on, 0 for an ephemeral one
      * @throws IOException if the port is taken or a TLS file can't be read
      */
-    @SuppressWarnings("AddressSelection") // an address, not a host name
-    public StandInProxy(ClientOptions options, int port) throws IOException {
+    @SuppressWarnings("AddressSelection") // an IP address, not a host name
+    public StubProxy(ClientOptions options, int port) throws IOException {
         controlClient = new ControlClient(options);
         workers = Executors.newCachedThreadPool(task -> {
             Thread thread = new Thread(task, "proxy " + options.node());
@@ -53,7 +53,7 @@
     }
 
     /** The proxy's connection to the control service. */
-    public ControlClient follower() {
+    public ControlClient controlClient() {
         return controlClient;
     }
 
@@ -71,7 +71,7 @@
         }
     }
 
-    /** Ends at once, as in a crash: requests in flight get no response. */
+    /** Stops immediately, as in a crash: requests in flight get no response. */
     @Override
     public void close() {
         controlClient.close();
--- a/proxy/src/main/java/stonelb/proxy/package-info.java
+++ b/proxy/src/main/java/stonelb/proxy/package-info.java
@@ -1,7 +1,7 @@
 /**
- * A small HTTP/1.1 proxy that is configured by the control service, for tests, trials and measurements.
+ * A small HTTP/1.1 proxy that is configured by the control service, for tests, demonstrations and measurements.
  *
- * <p>{@link stonelb.proxy.StandInProxy} plays the part of a proxy such as Envoy in another installation. It listens on
- * loopback alone.
+ * <p>{@link stonelb.proxy.StubProxy} replaces a production proxy such as Envoy. It listens on the loopback interface
+ * only.
  */
 package stonelb.proxy;
--- a/standins/src/main/java/stonelb/standins/DiscoveryQuery.java
+++ b/standins/src/main/java/stonelb/standins/DiscoveryQuery.java
@@ -4,11 +4,11 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * A call to discovery.
+ * A request to the discovery service.
  *
  * @param watch whether it waits for changes after an index, instead of asking for the full list
- * @param index the index that the caller knows; -1 where it asks for the full list
- * @param waitMs how long a watch may be held open; 0 where it asks for the full list
+ * @param index the last index that the caller has seen; -1 for a request for the full list
+ * @param waitMs how long a watch may be held open, in milliseconds; 0 for a request for the full list
  */
 record DiscoveryQuery(boolean watch, int index, long waitMs) {
 
@@ -23,10 +23,10 @@
     }
 
     /**
-     * Waits until something has changed or the time of the watch is over.
+     * Waits until there is a change or the watch times out.
      *
-     * @param monitor the caller's lock, which it holds and on which changes are notified
-     * @param changed whether there is something newer than the caller knows
+     * @param monitor the lock held by the caller, notified on changes
+     * @param changed whether there is a change that the caller has not seen
      */
     void awaitChange(Object monitor, BooleanSupplier changed) throws InterruptedException {
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(waitMs);
@@ -39,12 +39,12 @@
         }
     }
 
-    /** The body of an answer. */
-    static String answer(int index, boolean snapshot, String endpoints) {
+    /** Returns the body of a response. */
+    static String response(int index, boolean snapshot, String endpoints) {
         return "{\"index\":" + index + ",\"snapshot\":" + snapshot + ",\"endpoints\":[" + endpoints + "]}";
     }
 
-    /** An endpoint of an answer; {@code sinceMs} is its start in Unix time. */
+    /** Returns the JSON object of an endpoint; {@code sinceMs} is its start time in Unix milliseconds. */
     static String endpoint(String name, String address, String status, Number sinceMs) {
         return "{\"name\":\"" + name + "\",\"address\":\"" + address + "\",\"zone\":\"a\",\"type\":\"m\",\"group\":0,"
                 + "\"status\":\"" + status + "\",\"weight\":1.0,\"since_ms\":" + sinceMs + "}";
--- a/standins/src/main/java/stonelb/standins/GatewayProcess.java
+++ b/standins/src/main/java/stonelb/standins/GatewayProcess.java
@@ -16,13 +16,13 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
 
-/** The gateway in a process of its own, started as its users start it. */
+/** Runs a gateway in a separate process, started by its normal command line. */
 public final class GatewayProcess implements AutoCloseable {
     /** A plan without a quota. */
-    public static final String OPEN = "{\"name\":\"open\",\"worthFactor\":1,\"overrunCost\":1}";
+    public static final String UNLIMITED_PLAN = "{\"name\":\"open\",\"worthFactor\":1,\"overrunCost\":1}";
 
     /** A plan whose customers may spend five units, with nearly no refill. */
-    public static final String FIVE =
+    public static final String FIVE_UNIT_PLAN =
             "{\"name\":\"five\",\"unitsPerS\":0.001,\"depth\":5,\"worthFactor\":1,\"overrunCost\":1}";
 
     private static final List<String> JAVA_ARGUMENTS =
@@ -39,32 +39,33 @@
      *
      * @param folder where its files are written
      * @param config its configuration
-     * @param openApi the settings of the OpenAPI front end, or null where that is off
+     * @param openApi the settings of the OpenAPI front end, or null to disable it
      */
     public GatewayProcess(Path folder, String config, String openApi) throws IOException {
         this(null, folder, config, openApi, JAVA_ARGUMENTS);
     }
 
     /**
-     * Starts a gateway with other arguments.
+     * Starts a gateway with other Java arguments.
      *
-     * @param java the arguments of the virtual machine, up to the program's own
+     * @param javaArguments the arguments of the {@code java} command that precede the program's own
      */
-    public GatewayProcess(Path folder, String config, String openApi, String... java) throws IOException {
-        this(null, folder, config, openApi, List.of(java));
+    public GatewayProcess(Path folder, String config, String openApi, String... javaArguments) throws IOException {
+        this(null, folder, config, openApi, List.of(javaArguments));
     }
 
     /** Starts a gateway that ignores SIGHUP, as under {@code nohup}. */
-    public static GatewayProcess deaf(Path folder, String config) throws IOException {
+    public static GatewayProcess ignoringSighup(Path folder, String config) throws IOException {
         return new GatewayProcess("trap '' HUP", folder, config, null, JAVA_ARGUMENTS);
     }
 
-    /** Starts a gateway with a limit on its file descriptors. */
-    public static GatewayProcess limited(Path folder, String config, int descriptors) throws IOException {
-        return new GatewayProcess("ulimit -n " + descriptors, folder, config, null, JAVA_ARGUMENTS);
+    /** Starts a gateway with a limit on the number of its file descriptors. */
+    public static GatewayProcess withDescriptorLimit(Path folder, String config, int maxDescriptors)
+            throws IOException {
+        return new GatewayProcess("ulimit -n " + maxDescriptors, folder, config, null, JAVA_ARGUMENTS);
     }
 
-    private GatewayProcess(String shellPrelude, Path folder, String config, String openApi, List<String> java)
+    private GatewayProcess(String shellPrelude, Path folder, String config, String openApi, List<String> javaArguments)
             throws IOException {
         Path configFile = folder.resolve("config.json");
         Path openApiFile = folder.resolve("openapi.json");
@@ -72,7 +73,7 @@
         if (openApi != null) {
             Files.writeString(openApiFile, openApi);
         }
-        ProcessBuilder builder = new ProcessBuilder(command(shellPrelude, java));
+        ProcessBuilder builder = new ProcessBuilder(command(shellPrelude, javaArguments));
         builder.redirectErrorStream(true);
         builder.environment()
                 .putAll(Map.of("PROXY_CONFIG", configFile.toString(), "STONELB_OPENAPI", openApiFile.toString()));
@@ -82,13 +83,13 @@
         reader.start();
     }
 
-    private static List<String> command(String shellPrelude, List<String> java) {
+    private static List<String> command(String shellPrelude, List<String> javaArguments) {
         List<String> command = new ArrayList<>();
         if (shellPrelude != null) {
             command.addAll(List.of("sh", "-c", shellPrelude + "; exec \"$@\"", "sh"));
         }
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        command.addAll(java);
+        command.addAll(javaArguments);
         command.add("serve");
         return command;
     }
@@ -97,65 +98,65 @@
         try {
             process.inputReader().lines().forEach(log::add);
         } catch (UncheckedIOException e) {
-            // The test has ended and closed the stream.
+            // The stream was closed at the end of the test.
         }
     }
 
     /**
      * Waits until a front end listens.
      *
-     * @param what the words before its address in its log line, such as "RESP2 requests"
+     * @param protocol the text before its address in its log line, such as "RESP2 requests"
      * @return its port
      */
-    public int port(String what) throws InterruptedException {
-        String mark = " " + what + " on 127.0.0.1:";
-        until("the gateway listens for " + what, () -> line(mark) != null);
-        String line = line(mark);
+    public int port(String protocol) throws InterruptedException {
+        String marker = " " + protocol + " on 127.0.0.1:";
+        awaitCondition("the gateway listens for " + protocol, () -> firstLogLine(marker) != null);
+        String line = firstLogLine(marker);
         return Integer.parseInt(line.substring(line.lastIndexOf(':') + 1));
     }
 
-    /** The first log line that contains a text, or null. */
-    public String line(String part) {
-        return log.stream().filter(line -> line.contains(part)).findFirst().orElse(null);
+    /** Returns the first log line that contains a text, or null if there is none. */
+    public String firstLogLine(String text) {
+        return log.stream().filter(line -> line.contains(text)).findFirst().orElse(null);
     }
 
-    /** A copy of the log so far, one element a line. */
+    /** Returns a copy of the log so far, one element per line. */
     public List<String> log() {
         return new ArrayList<>(log);
     }
 
     /** Requests a graceful shutdown with SIGTERM, as a service manager does. */
-    public void terminate() {
+    public void sendSigterm() {
         process.toHandle().destroy(); // Process.destroy would close the log as well
     }
 
     /** Sends SIGHUP, on which the gateway reloads its configuration. */
-    public void hangUp() throws IOException, InterruptedException {
+    public void sendSighup() throws IOException, InterruptedException {
         new ProcessBuilder("sh", "-c", "kill -HUP " + process.pid()).start().waitFor();
     }
 
-    /** Waits for the end of the process for a number of milliseconds; returns whether it has ended. */
-    public boolean ended(long ms) throws InterruptedException {
-        return process.waitFor(ms, TimeUnit.MILLISECONDS);
+    /** Waits up to a timeout for the process to exit; returns whether it has exited. */
+    public boolean awaitExit(long timeoutMs) throws InterruptedException {
+        return process.waitFor(timeoutMs, TimeUnit.MILLISECONDS);
     }
 
-    /** Whether the process runs. */
-    public boolean alive() {
+    /** Returns whether the process is running. */
+    public boolean isAlive() {
         return process.isAlive();
     }
 
-    /** The exit code of the process, which has ended. */
-    public int exit() {
+    /** Returns the exit code of the process, which must have ended. */
+    public int exitCode() {
         return process.exitValue();
     }
 
     /**
      * Waits up to 30 s until a condition holds.
      *
-     * @param what the condition in words, for the failure
-     * @throws AssertionError if it does not hold in time
+     * @param description the condition in words, for the error message
+     * @throws AssertionError if the timeout expires first
      */
-    public static void until(String what, Callable<Boolean> condition) throws InterruptedException {
+    public static void awaitCondition(String description, Callable<Boolean> condition) throws InterruptedException {
         for (int poll = 0; poll < WAIT_POLLS; poll++) {
             try {
                 if (condition.call()) {
@@ -164,11 +165,11 @@
             } catch (InterruptedException e) {
                 throw e;
             } catch (Exception e) {
-                throw new IllegalStateException(what, e);
+                throw new IllegalStateException(description, e);
             }
             Thread.sleep(WAIT_POLL_MS);
         }
-        throw new AssertionError("waited in vain: " + what);
+        throw new AssertionError("timed out waiting until: " + description);
     }
 
     /** Kills the process. */
@@ -181,13 +182,13 @@
     public static final class Client implements AutoCloseable {
         private static final int READ_TIMEOUT_MS = 30_000;
 
-        /** The socket itself. */
+        /** The connection's socket. */
         public final Socket socket;
 
-        /** What the gateway sends. */
+        /** The input from the gateway. */
         public final InputStream in;
 
-        /** What the client sends. */
+        /** The output to the gateway. */
         public final OutputStream out;
 
         /** Connects to a port of 127.0.0.1. */
@@ -199,13 +200,13 @@
             out = socket.getOutputStream();
         }
 
-        /** Sends a text, one byte a character. */
+        /** Sends text in ISO-8859-1. */
         public void write(String text) throws IOException {
             StubServer.write(out, text);
         }
 
         /** Sends a RESP2 command. */
-        public void command(String... words) throws IOException {
+        public void sendCommand(String... words) throws IOException {
             StringBuilder text = new StringBuilder("*" + words.length + "\r\n");
             for (String word : words) {
                 text.append('$')
@@ -218,15 +219,15 @@
         }
 
         /** Sends a RESP2 command and reads the response as text. */
-        public String ask(String... words) throws IOException {
-            command(words);
-            return StubServer.resp(in);
+        public String call(String... words) throws IOException {
+            sendCommand(words);
+            return StubServer.readResp(in);
         }
 
-        /** Sends an HTTP request as it stands and reads the response. */
-        public StubServer.HttpText http(String text) throws IOException {
+        /** Sends the text of an HTTP request unchanged and reads the response. */
+        public StubServer.HttpMessage httpCall(String text) throws IOException {
             write(text);
-            return StubServer.http(in);
+            return StubServer.readHttp(in);
         }
 
         @Override
--- a/standins/src/main/java/stonelb/standins/ObjectGraphSize.java
+++ b/standins/src/main/java/stonelb/standins/ObjectGraphSize.java
@@ -13,7 +13,7 @@
 import java.util.Objects;
 import java.util.Set;
 
-/** Counts the elements of all collections that an object of the project holds, to find what grows without bound. */
+/** Counts the elements of all collections reachable from an object of the project, to detect unbounded growth. */
 public final class ObjectGraphSize {
     private static final String PROJECT_PACKAGE = "stonelb.";
 
@@ -21,7 +21,7 @@
 
     /**
      * Counts through the fields of the project's classes and through collections, maps and arrays; other objects are
-     * not looked into.
+     * not traversed.
      *
      * @param root where to start
      * @return the number of elements of all collections that were reached
@@ -49,7 +49,7 @@
         return elements;
     }
 
-    /** The elements of a collection, map or array; null for any other object. */
+    /** Returns the elements of a collection, map or array; null for any other object. */
     private static Collection<?> contents(Object object) {
         if (object instanceof Map<?, ?> map) {
             return map.values();
--- a/standins/src/main/java/stonelb/standins/StubConfiguration.java
+++ b/standins/src/main/java/stonelb/standins/StubConfiguration.java
@@ -1,17 +1,17 @@
 package stonelb.standins;
 
 /**
- * The parts of a gateway's configuration in which the stubs differ.
+ * The parts of a gateway's configuration that differ between the stubs.
  *
  * @param name the gateway's name
  * @param listen where it listens, HOST:PORT
  * @param discovery the address of discovery
  * @param counter the address of the quota counter
- * @param cachedEndpoints the endpoint list to start with, as discovery would answer
+ * @param cachedEndpoints the endpoint list to start with, in the format of a discovery response
  * @param sockets the limit on its sockets
- * @param gateways how many gateways share the quotas
- * @param counterTimeoutMs how long a call to the counter may take, in milliseconds
- * @param largestRequest the most units of a request
+ * @param gateways the number of gateways that share the quotas
+ * @param counterTimeoutMs the timeout of a call to the counter, in milliseconds
+ * @param largestRequest the maximum units of a request
  * @param classes the request classes, as JSON objects separated by commas
  * @param plans the plans, as JSON objects separated by commas
  */
@@ -28,13 +28,13 @@
         String classes,
         String plans) {
 
-    /** The JSON object of a request class. */
+    /** Returns the JSON object of a request class. */
     static String requestClass(String name, int deadlineMs, int latencyObjectiveMs, String idempotency, int weight) {
         return "{\"name\":\"" + name + "\",\"deadlineMs\":" + deadlineMs + ",\"promiseMs\":" + latencyObjectiveMs
                 + ",\"effect\":\"" + idempotency + "\",\"worth\":" + weight + "}";
     }
 
-    /** The configuration as one JSON object. */
+    /** Returns the configuration as one JSON object. */
     String toJson() {
         return "{\"name\":\"" + name + "\",\"listen\":\"" + listen + "\",\"discovery\":\"" + discovery
                 + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":" + sockets
--- a/standins/src/main/java/stonelb/standins/StubCounter.java
+++ b/standins/src/main/java/stonelb/standins/StubCounter.java
@@ -7,30 +7,30 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 
-/** The quota counter over HTTP: adds to the total of a name and answers with it. */
+/** The quota counter over HTTP: adds to the total of a name and responds with the new total. */
 final class StubCounter {
     private final Map<String, Double> totals;
-    private final BooleanSupplier silent;
-    private final Consumer<String> onAdded;
+    private final BooleanSupplier unresponsive;
+    private final Consumer<String> onCounted;
 
     /**
      * Sets up a counter.
      *
      * @param totals the totals by name, guarded by the map itself
-     * @param silent whether calls are read and neither counted nor answered
-     * @param onAdded is given "NAME AMOUNT" of each counted call before its answer is sent
+     * @param unresponsive whether calls are read but neither counted nor answered
+     * @param onCounted called with "NAME AMOUNT" of each counted call before its response is sent
      */
-    StubCounter(Map<String, Double> totals, BooleanSupplier silent, Consumer<String> onAdded) {
+    StubCounter(Map<String, Double> totals, BooleanSupplier unresponsive, Consumer<String> onCounted) {
         this.totals = totals;
-        this.silent = silent;
-        this.onAdded = onAdded;
+        this.unresponsive = unresponsive;
+        this.onCounted = onCounted;
     }
 
     /** Serves one connection. */
     void serve(InputStream in, OutputStream out) throws IOException {
         while (true) {
-            String target = StubServer.http(in).target();
-            if (silent.getAsBoolean()) {
+            String target = StubServer.readHttp(in).target();
+            if (unresponsive.getAsBoolean()) {
                 continue;
             }
             String name = target.replaceAll("/counters/([^?]*).*", "$1");
@@ -39,8 +39,8 @@
             synchronized (totals) {
                 total = totals.merge(name, amount, Double::sum);
             }
-            onAdded.accept(name + " " + amount);
-            StubServer.write(out, StubServer.httpAnswer(200, "", Double.toString(total)));
+            onCounted.accept(name + " " + amount);
+            StubServer.write(out, StubServer.httpResponse(200, "", Double.toString(total)));
         }
     }
 }
--- a/standins/src/main/java/stonelb/standins/StubFleet.java
+++ b/standins/src/main/java/stonelb/standins/StubFleet.java
@@ -14,7 +14,7 @@
 
 /**
  * A platform of several plan servers that speak HTTP, with discovery and a quota counter, for gateways and proxies under
- * test. It may be changed while they run: servers drain or are added, the counter falls silent.
+ * test. It may be changed while they run: servers can drain or be added, and the counter can stop responding.
  */
 public final class StubFleet implements AutoCloseable {
     /** The plans of tests and of {@code try}: a small quota, one with a ceiling, and one that may be exceeded. */
@@ -24,7 +24,7 @@
                     + "\"worthFactor\":1.3,\"overrunCost\":1},"
                     + "{\"name\":\"red\",\"unitsPerS\":10,\"depth\":20,\"worthFactor\":1.4,\"overWorth\":0.2}";
 
-    /** An OpenAPI description with a read and a session log, as the clinics' apps use them. */
+    /** An OpenAPI description with a read and a session log, as used by the customers' apps. */
     public static final String DESCRIPTION =
             """
             openapi: 3.1.0
@@ -46,35 +46,35 @@
     /** The plans in the settings, as JSON objects separated by commas. */
     public String plans = PLANS;
 
-    /** The requests that reached plan servers, in the order of their arrival. */
-    public final ConcurrentLinkedQueue<ReceivedRequest> ran = new ConcurrentLinkedQueue<>();
+    /** The requests received by plan servers, in order of arrival. */
+    public final ConcurrentLinkedQueue<ReceivedRequest> receivedRequests = new ConcurrentLinkedQueue<>();
 
-    /** Is given each request on its arrival. */
-    public volatile Consumer<ReceivedRequest> heard = request -> {};
+    /** Called with each request on its arrival. */
+    public volatile Consumer<ReceivedRequest> onRequest = request -> {};
 
-    /** How long plan servers take for a request on average, in milliseconds. */
-    public volatile double workMs;
+    /** The mean processing time of plan servers for a request, in milliseconds. */
+    public volatile double meanWorkMs;
 
     /** Whether the counter reads calls without counting or answering them. */
-    public volatile boolean counterSilent;
+    public volatile boolean counterUnresponsive;
 
     private final int subnet = FIRST_SUBNET + NEXT_SUBNET.getAndIncrement() % SUBNETS;
     private int lastHost;
     private int httpPort;
     private final Map<String, StubPlanServer> servers = new LinkedHashMap<>();
-    private final List<String> changes = new ArrayList<>(); // the entry that changed, by its index at discovery
+    private final List<String> changes = new ArrayList<>(); // the changed entries; positions are discovery indexes
 
-    /** Discovery, which answers with the full list or with the changes after an index. */
+    /** Discovery, which responds with the full list or with the changes after an index. */
     public final StubServer discovery = new StubServer(this::discover);
 
     /** The quota counter. */
     public final StubServer counter =
-            new StubServer(new StubCounter(new TreeMap<>(), () -> counterSilent, added -> {})::serve);
+            new StubServer(new StubCounter(new TreeMap<>(), () -> counterUnresponsive, added -> {})::serve);
 
     /**
      * Starts plan servers s-0, s-1 and so on, discovery and the counter.
      *
-     * @param planServers how many plan servers
+     * @param planServers the number of plan servers
      */
     public StubFleet(int planServers) throws IOException {
         for (int index = 0; index < planServers; index++) {
@@ -83,43 +83,43 @@
         }
     }
 
-    /** All plan servers share a port, which the first one picks, and differ in their loopback addresses. */
+    /** Starts a plan server. All share the free port chosen for the first and have different loopback addresses. */
     private StubPlanServer startPlanServer(String name) throws IOException {
         lastHost++;
         String host = "127." + subnet + ".0." + lastHost;
-        StubPlanServer server = new StubPlanServer(name, host, httpPort, () -> workMs, this::received);
+        StubPlanServer server = new StubPlanServer(name, host, httpPort, () -> meanWorkMs, this::recordRequest);
         httpPort = server.port();
         return server;
     }
 
-    private void received(ReceivedRequest request) {
-        ran.add(request);
-        heard.accept(request);
+    private void recordRequest(ReceivedRequest request) {
+        receivedRequests.add(request);
+        onRequest.accept(request);
     }
 
-    /** The plan server of a name, or null. */
+    /** Returns the plan server with a name, or null if there is none. */
     public synchronized StubPlanServer server(String name) {
         return servers.get(name);
     }
 
     /** Sets a plan server's status at discovery; {@code terminated} removes it from the list. */
-    public synchronized void status(String name, String status) {
+    public synchronized void setStatus(String name, String status) {
         StubPlanServer server = servers.get(name);
         server.setStatus(status);
-        addChange(server.entry());
+        addChange(server.discoveryEntry());
         if (status.equals("terminated")) {
             servers.remove(name);
         }
     }
 
-    /** Adds a plan server that another process runs. */
-    public synchronized void addAt(String name, String address) {
+    /** Adds a plan server that runs in another process. */
+    public synchronized void addExternalServer(String name, String address) {
         StubPlanServer server = new StubPlanServer(name, address);
         servers.put(name, server);
-        addChange(server.entry());
+        addChange(server.discoveryEntry());
     }
 
-    /** The port of all plan servers that run here. */
+    /** Returns the port of all plan servers in this process. */
     public int httpPort() {
         return httpPort;
     }
@@ -131,30 +131,30 @@
 
     private synchronized String fullList() {
         List<String> entries =
-                servers.values().stream().map(StubPlanServer::entry).toList();
-        return DiscoveryQuery.answer(changes.size(), true, String.join(",", entries));
+                servers.values().stream().map(StubPlanServer::discoveryEntry).toList();
+        return DiscoveryQuery.response(changes.size(), true, String.join(",", entries));
     }
 
     private void discover(InputStream in, OutputStream out) throws IOException, InterruptedException {
         while (true) {
-            DiscoveryQuery query = DiscoveryQuery.parse(StubServer.http(in).target());
+            DiscoveryQuery query = DiscoveryQuery.parse(StubServer.readHttp(in).target());
             String body = query.watch() ? awaitChanges(query) : fullList();
-            StubServer.write(out, StubServer.httpAnswer(200, "", body));
+            StubServer.write(out, StubServer.httpResponse(200, "", body));
         }
     }
 
     private synchronized String awaitChanges(DiscoveryQuery query) throws InterruptedException {
         query.awaitChange(this, () -> query.index() < changes.size());
         List<String> newer = changes.subList(Math.min(query.index(), changes.size()), changes.size());
-        return DiscoveryQuery.answer(changes.size(), false, String.join(",", newer));
+        return DiscoveryQuery.response(changes.size(), false, String.join(",", newer));
     }
 
     /**
-     * The configuration of one gateway, or of a control service, on this platform.
+     * Returns the configuration of a gateway or control service on this platform.
      *
      * @param name its name
      * @param listen where it listens, HOST:PORT
-     * @param gateways how many gateways share the quotas
+     * @param gateways the number of gateways that share the quotas
      */
     public String config(String name, String listen, int gateways) {
         return new StubConfiguration(
--- a/standins/src/main/java/stonelb/standins/StubPlanServer.java
+++ b/standins/src/main/java/stonelb/standins/StubPlanServer.java
@@ -8,14 +8,14 @@
 import java.util.function.Consumer;
 import java.util.function.DoubleSupplier;
 
-/** A plan server of a {@link StubFleet}, which answers over HTTP with an echo of the request target. */
+/** A plan server of a {@link StubFleet}, which echoes the request target over HTTP. */
 public final class StubPlanServer implements AutoCloseable {
     private static final double NANOS_PER_MS = 1e6;
 
     private final String name;
     private final DoubleSupplier meanWorkMs;
     private final Consumer<ReceivedRequest> onRequest;
-    private final StubServer server; // null where another process runs it
+    private final StubServer server; // null if it runs in another process
     private final String address;
     private volatile String status = "in_service";
     private volatile boolean failing;
@@ -24,8 +24,8 @@
      * Starts a plan server.
      *
      * @param port the port, 0 for a free one
-     * @param meanWorkMs how long a request takes on average in milliseconds, read for each request
-     * @param onRequest is given each request on its arrival
+     * @param meanWorkMs the mean processing time in milliseconds, read for each request
+     * @param onRequest called with each request on its arrival
      */
     StubPlanServer(String name, String host, int port, DoubleSupplier meanWorkMs, Consumer<ReceivedRequest> onRequest)
             throws IOException {
@@ -36,7 +36,7 @@
         this.address = server.address();
     }
 
-    /** A plan server that another process runs at an address. */
+    /** Represents a plan server that runs in another process. */
     StubPlanServer(String name, String address) {
         this.name = name;
         this.meanWorkMs = () -> 0;
@@ -45,17 +45,17 @@
         this.address = address;
     }
 
-    /** The name at discovery. */
+    /** Returns the name registered at discovery. */
     public String name() {
         return name;
     }
 
-    /** Where it listens, HOST:PORT. */
+    /** Returns the address on which it listens, HOST:PORT. */
     public String address() {
         return address;
     }
 
-    /** The port of its own server. */
+    /** Returns the port of the server in this process. */
     int port() {
         return server.port();
     }
@@ -64,19 +64,19 @@
         status = newStatus;
     }
 
-    /** Its entry in an answer of discovery. */
-    String entry() {
+    /** Returns its entry in a discovery response. */
+    String discoveryEntry() {
         return DiscoveryQuery.endpoint(name, address, status, 0.0);
     }
 
-    /** Makes every later response an error or, with {@code false}, a success again. */
-    public void fail(boolean now) {
-        failing = now;
+    /** Sets whether later responses are errors. */
+    public void setFailing(boolean newFailing) {
+        failing = newFailing;
     }
 
     private void serve(InputStream in, OutputStream out) throws IOException, InterruptedException {
         while (true) {
-            StubServer.HttpText request = StubServer.http(in);
+            StubServer.HttpMessage request = StubServer.readHttp(in);
             Map<String, String> headers = request.headers();
             ReceivedRequest received = new ReceivedRequest(
                     name,
@@ -88,11 +88,11 @@
             work(received.id());
             StubServer.write(
                     out,
-                    StubServer.httpAnswer(failing ? 500 : 200, "", failing ? "failed" : "echo " + request.target()));
+                    StubServer.httpResponse(failing ? 500 : 200, "", failing ? "failed" : "echo " + request.target()));
         }
     }
 
-    /** Takes 0.5 to 1.5 times the mean, the same time for the same request at all servers. */
+    /** Sleeps for 0.5 to 1.5 times the mean; the time depends only on the request ID and is the same at all servers. */
     private void work(String requestId) throws InterruptedException {
         double meanMs = meanWorkMs.getAsDouble();
         double workMs = meanMs <= 0 ? 0 : meanMs * (0.5 + new SplittableRandom(requestId.hashCode()).nextDouble());
--- a/standins/src/main/java/stonelb/standins/StubPlatform.java
+++ b/standins/src/main/java/stonelb/standins/StubPlatform.java
@@ -11,36 +11,36 @@
 
 /**
  * Discovery, the quota counter and one plan server that speaks both RESP2 and HTTP, for one gateway under test. The body
- * of a request says what the plan server does with it: "fail" answers with an error, "away" proves that the request was
- * not executed, "reset" closes the connection without a response, "slow MS" answers after a time, "twice" answers twice
- * over RESP2, and any other body is echoed.
+ * of a request selects the behavior of the plan server: "fail" returns an error, "away" returns a response that says that
+ * the request was not executed, "reset" closes the connection without a response, "slow MS" responds after a delay,
+ * "twice" responds twice over RESP2, and any other body is echoed.
  */
 public final class StubPlatform implements AutoCloseable {
     private static final String CLASSES = StubConfiguration.requestClass("read", 20_000, 10_000, "idempotent", 3) + ","
             + StubConfiguration.requestClass("log", 20_000, 10_000, "at_most_once", 2);
 
     private static final long NANOS_PER_MS = 1_000_000;
-    private static final int TWICE_PAUSE_MS = 3;
+    private static final int DUPLICATE_RESPONSE_DELAY_MS = 3;
 
-    /** What the plan server executed: its command and its body. */
-    public final List<String> ran = new CopyOnWriteArrayList<>();
+    /** The requests executed by the plan server, each "COMMAND BODY". */
+    public final List<String> executedRequests = new CopyOnWriteArrayList<>();
 
     /** The requests as they arrived: the words of a RESP2 command, or the start line and headers of an HTTP request. */
-    public final List<String> raw = new CopyOnWriteArrayList<>();
+    public final List<String> receivedRequests = new CopyOnWriteArrayList<>();
 
     /** The counter's totals by name, guarded by the map itself. */
-    public final Map<String, Double> totals = new TreeMap<>();
+    public final Map<String, Double> counterTotals = new TreeMap<>();
 
-    /** The calls that the counter has counted, each "NAME AMOUNT". */
-    public final List<String> added = new CopyOnWriteArrayList<>();
+    /** The calls counted by the counter, each "NAME AMOUNT". */
+    public final List<String> counterCalls = new CopyOnWriteArrayList<>();
 
     /** Whether the counter reads calls without counting or answering them. */
-    public volatile boolean counterSilent;
+    public volatile boolean counterUnresponsive;
 
-    /** A RESP2 connection that was idle for longer, in milliseconds, is closed at its next request. */
-    public volatile long staleMs = Long.MAX_VALUE;
+    /** The idle time in milliseconds after which a RESP2 connection is closed at its next request. */
+    public volatile long maxIdleMs = Long.MAX_VALUE;
 
-    // What discovery answers, guarded by this.
+    // The state of discovery, guarded by this.
     private int index = 1;
     private String lastChange = "";
     private String status = "in_service";
@@ -52,12 +52,13 @@
     public final StubServer http = new StubServer(this::serveHttp);
 
     /** The quota counter. */
-    public final StubServer counter = new StubServer(new StubCounter(totals, () -> counterSilent, added::add)::serve);
+    public final StubServer counter =
+            new StubServer(new StubCounter(counterTotals, () -> counterUnresponsive, counterCalls::add)::serve);
 
-    /** Discovery, whose list has the one plan server. */
+    /** Discovery, which lists the one plan server. */
     public final StubServer discovery = new StubServer(this::discover);
 
-    /** What the plan server does with a request. */
+    /** How the plan server handles a request. */
     private enum Outcome {
         ECHO,
         FAIL,
@@ -68,45 +69,45 @@
     /** Starts all servers on free ports. */
     public StubPlatform() throws IOException {}
 
-    /** The endpoint list that a gateway starts with. */
-    public String list() {
-        return DiscoveryQuery.answer(0, true, entry());
+    /** Returns the initial endpoint list for a gateway. */
+    public String endpointList() {
+        return DiscoveryQuery.response(0, true, discoveryEntry());
     }
 
-    private String entry() {
+    private String discoveryEntry() {
         return DiscoveryQuery.endpoint("s-1", resp.address(), status, 0);
     }
 
     /** Sets the plan server's status at discovery. */
-    public synchronized void status(String now) {
-        status = now;
+    public synchronized void status(String newStatus) {
+        status = newStatus;
         index++;
-        lastChange = entry();
+        lastChange = discoveryEntry();
         notifyAll();
     }
 
     private void discover(InputStream in, OutputStream out) throws IOException, InterruptedException {
         while (true) {
-            DiscoveryQuery query = DiscoveryQuery.parse(StubServer.http(in).target());
-            StubServer.write(out, StubServer.httpAnswer(200, "", discoveryAnswer(query)));
+            DiscoveryQuery query = DiscoveryQuery.parse(StubServer.readHttp(in).target());
+            StubServer.write(out, StubServer.httpResponse(200, "", discoveryResponse(query)));
         }
     }
 
-    private synchronized String discoveryAnswer(DiscoveryQuery query) throws InterruptedException {
+    private synchronized String discoveryResponse(DiscoveryQuery query) throws InterruptedException {
         if (!query.watch()) {
-            return DiscoveryQuery.answer(index, true, entry());
+            return DiscoveryQuery.response(index, true, discoveryEntry());
         }
         query.awaitChange(this, () -> query.index() != index);
-        return DiscoveryQuery.answer(index, false, query.index() == index ? "" : lastChange);
+        return DiscoveryQuery.response(index, false, query.index() == index ? "" : lastChange);
     }
 
     private void serveResp(InputStream in, OutputStream out) throws IOException, InterruptedException {
         long idleSince = System.nanoTime();
         boolean first = true;
         while (true) {
-            List<String> words = StubServer.command(in);
-            raw.add(words.toString());
-            if (!first && (System.nanoTime() - idleSince) / NANOS_PER_MS > staleMs) {
+            List<String> words = StubServer.readCommand(in);
+            receivedRequests.add(words.toString());
+            if (!first && (System.nanoTime() - idleSince) / NANOS_PER_MS > maxIdleMs) {
                 return;
             }
             first = false;
@@ -119,7 +120,7 @@
             StubServer.write(out, response);
             idleSince = System.nanoTime();
             if (body.startsWith("twice")) {
-                Thread.sleep(TWICE_PAUSE_MS);
+                Thread.sleep(DUPLICATE_RESPONSE_DELAY_MS);
                 StubServer.write(out, response);
             }
         }
@@ -135,9 +136,9 @@
 
     private void serveHttp(InputStream in, OutputStream out) throws IOException, InterruptedException {
         while (true) {
-            StubServer.HttpText request = StubServer.http(in);
-            raw.add(request.start() + " " + request.headers());
-            String command = request.start().startsWith("GET") ? "Q.ASK" : "Q.DO";
+            StubServer.HttpMessage request = StubServer.readHttp(in);
+            receivedRequests.add(request.startLine() + " " + request.headers());
+            String command = request.startLine().startsWith("GET") ? "Q.ASK" : "Q.DO";
             String body = request.body().isEmpty() ? request.headers().getOrDefault("x-body", "plain") : request.body();
             Outcome outcome = execute(command, body);
             if (outcome == Outcome.CLOSE) {
@@ -145,7 +146,7 @@
             }
             String responseBody = httpBody(outcome, "echo " + body);
             String response = httpResponse(outcome, responseBody);
-            boolean head = request.start().startsWith("HEAD");
+            boolean head = request.startLine().startsWith("HEAD");
             StubServer.write(out, head ? response.substring(0, response.length() - responseBody.length()) : response);
         }
     }
@@ -160,15 +161,15 @@
 
     private static String httpResponse(Outcome outcome, String body) {
         return switch (outcome) {
-            case FAIL -> StubServer.httpAnswer(500, "X-Own: yes\r\n", body);
-            case NOT_EXECUTED -> StubServer.httpAnswer(503, "X-Unprocessed: 1\r\n", body);
-            default -> StubServer.httpAnswer(200, "X-Own: yes\r\n", body);
+            case FAIL -> StubServer.httpResponse(500, "X-Own: yes\r\n", body);
+            case NOT_EXECUTED -> StubServer.httpResponse(503, "X-Unprocessed: 1\r\n", body);
+            default -> StubServer.httpResponse(200, "X-Own: yes\r\n", body);
         };
     }
 
-    /** Does what the body says, waiting included. */
+    /** Records the request, waits if the body says so, and returns the outcome selected by the body. */
     private Outcome execute(String command, String body) throws InterruptedException {
-        ran.add(command + " " + body);
+        executedRequests.add(command + " " + body);
         String instruction = body.replaceAll(" .*", "");
         if (instruction.equals("slow")) {
             Thread.sleep(Long.parseLong(body.substring(body.indexOf(' ') + 1)));
@@ -182,20 +183,30 @@
     }
 
     /**
-     * The configuration of a gateway on this platform, with an idempotent class "read" and an at-most-once class "log".
+     * Returns the configuration of a gateway on this platform, with an idempotent class "read" and an at-most-once class "log".
      *
      * @param listen where it listens, HOST:PORT
      * @param plans the plans, as JSON objects separated by commas
      */
     public String config(String listen, String plans) {
         return new StubConfiguration(
-                        "n0", listen, discovery.address(), counter.address(), list(), 1024, 1, 3000, 4, CLASSES, plans)
+                        "n0",
+                        listen,
+                        discovery.address(),
+                        counter.address(),
+                        endpointList(),
+                        1024,
+                        1,
+                        3000,
+                        4,
+                        CLASSES,
+                        plans)
                 .toJson();
     }
 
-    /** A sorted copy of {@link #ran}, for tests whose requests may arrive in any order. */
-    public List<String> ranSorted() {
-        List<String> sorted = new ArrayList<>(ran);
+    /** Returns a sorted copy of {@link #executedRequests}, for tests whose requests may arrive in any order. */
+    public List<String> executedRequestsSorted() {
+        List<String> sorted = new ArrayList<>(executedRequests);
         sorted.sort(null);
         return sorted;
     }
--- a/standins/src/main/java/stonelb/standins/StubServer.java
+++ b/standins/src/main/java/stonelb/standins/StubServer.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * A server on a loopback address that handles each connection on a thread of its own, and the reading and writing of
+ * A server on a loopback address that handles each connection on its own thread, and the reading and writing of
  * RESP2 and HTTP/1.1 that handlers and test clients need.
  */
 public final class StubServer implements AutoCloseable {
@@ -29,7 +29,7 @@
     private final ServerSocket listener;
     private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
 
-    /** Handles one connection until it returns or fails; the connection is closed then. */
+    /** Handles one connection until it returns or fails; the connection is then closed. */
     public interface ConnectionHandler {
         /** Handles a connection from its start to its end. */
         void handle(InputStream in, OutputStream out) throws IOException, InterruptedException;
@@ -38,24 +38,24 @@
     /**
      * An HTTP request or response.
      *
-     * @param start the start line
+     * @param startLine the start line
      * @param headers the headers, with names in lower case
-     * @param body the body, empty where there was none
+     * @param body the body, empty if absent
      */
-    public record HttpText(String start, Map<String, String> headers, String body) {
+    public record HttpMessage(String startLine, Map<String, String> headers, String body) {
 
-        /** The status of a response. */
+        /** Returns the status of a response. */
         public int status() {
             return Integer.parseInt(secondWord());
         }
 
-        /** The target of a request. */
+        /** Returns the target of a request. */
         public String target() {
             return secondWord();
         }
 
         private String secondWord() {
-            return start.split(" ", -1)[1];
+            return startLine.split(" ", -1)[1];
         }
     }
 
@@ -65,7 +65,7 @@
     }
 
     /**
-     * Listens at a loopback address; plan servers share a port and differ in their addresses.
+     * Listens on a loopback address; plan servers share a port and have different addresses.
      *
      * @param port the port, 0 for a free one
      */
@@ -101,25 +101,25 @@
             try {
                 task.run();
             } catch (IOException | InterruptedException e) {
-                // The connection or the test has ended.
+                // The connection or the server was closed.
             }
         });
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** The port on which it listens. */
+    /** Returns the port on which it listens. */
     public int port() {
         return listener.getLocalPort();
     }
 
-    /** Where it listens, HOST:PORT. */
+    /** Returns the address on which it listens, HOST:PORT. */
     public String address() {
         return listener.getInetAddress().getHostAddress() + ":" + port();
     }
 
-    /** How many connections are open. */
-    public int connections() {
+    /** Returns the number of open connections. */
+    public int openConnections() {
         return openSockets.size();
     }
 
@@ -133,79 +133,79 @@
     }
 
     /**
-     * Reads a line without its end.
+     * Reads a line without its terminator.
      *
      * @throws EOFException if the input ends before the line does
      */
-    public static String line(InputStream in) throws IOException {
+    public static String readLine(InputStream in) throws IOException {
         StringBuilder line = new StringBuilder();
         for (int next = in.read(); next != '\n'; next = in.read()) {
             if (next < 0) {
-                throw new EOFException("ended after '" + line + "'");
+                throw new EOFException("input ended after '" + line + "'");
             }
             line.append((char) next);
         }
         return line.toString().stripTrailing();
     }
 
-    /** Reads a RESP2 value as text: a line as it stands, a bulk string as its content, an array in brackets. */
-    public static String resp(InputStream in) throws IOException {
-        String line = line(in);
+    /** Reads a RESP2 value as text: a simple value as its line, a bulk string as its content, an array in brackets. */
+    public static String readResp(InputStream in) throws IOException {
+        String line = readLine(in);
         if (line.startsWith("*")) {
-            return array(in, line).toString();
+            return readArray(in, line).toString();
         }
-        return line.startsWith("$") ? bulkString(in, line) : line;
+        return line.startsWith("$") ? readBulkString(in, line) : line;
     }
 
     /** Reads the words of a RESP2 command. */
-    public static List<String> command(InputStream in) throws IOException {
-        return array(in, line(in));
+    public static List<String> readCommand(InputStream in) throws IOException {
+        return readArray(in, readLine(in));
     }
 
-    private static List<String> array(InputStream in, String header) throws IOException {
+    private static List<String> readArray(InputStream in, String header) throws IOException {
         List<String> elements = new ArrayList<>();
         for (int remaining = Integer.parseInt(header.substring(1)); remaining > 0; remaining--) {
-            elements.add(resp(in));
+            elements.add(readResp(in));
         }
         return elements;
     }
 
-    private static String bulkString(InputStream in, String header) throws IOException {
+    private static String readBulkString(InputStream in, String header) throws IOException {
         int length = Integer.parseInt(header.substring(1));
         if (length < 0) {
             return "null";
         }
         String text = new String(in.readNBytes(length), StandardCharsets.ISO_8859_1);
-        line(in);
+        readLine(in);
         return text;
     }
 
     /** Reads an HTTP request or response whose body, if any, has a Content-Length. */
-    public static HttpText http(InputStream in) throws IOException {
-        String start = line(in);
+    public static HttpMessage readHttp(InputStream in) throws IOException {
+        String start = readLine(in);
         Map<String, String> headers = new LinkedHashMap<>();
-        for (String header = line(in); !header.isEmpty(); header = line(in)) {
+        for (String header = readLine(in); !header.isEmpty(); header = readLine(in)) {
             int colon = header.indexOf(':');
             headers.put(
                     header.substring(0, colon).toLowerCase(Locale.ROOT),
                     header.substring(colon + 1).strip());
         }
         int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
-        return new HttpText(start, headers, new String(in.readNBytes(length), StandardCharsets.UTF_8));
+        return new HttpMessage(start, headers, new String(in.readNBytes(length), StandardCharsets.UTF_8));
     }
 
-    /** Writes a text, one byte a character, and flushes it. */
+    /** Writes text in ISO-8859-1 and flushes it. */
     public static void write(OutputStream out, String text) throws IOException {
         out.write(text.getBytes(StandardCharsets.ISO_8859_1));
         out.flush();
     }
 
     /**
-     * An HTTP response as text.
+     * Returns the text of an HTTP response.
      *
-     * @param headers further header lines, each with its line end
+     * @param headers additional header lines, each with its CRLF
      */
-    public static String httpAnswer(int status, String headers, String body) {
+    public static String httpResponse(int status, String headers, String body) {
         return "HTTP/1.1 " + status + " X\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 }
