--- a/gateway/src/main/java/stonelb/gateway/endpoint/OutboundRequest.java
+++ b/gateway/src/main/java/stonelb/gateway/endpoint/OutboundRequest.java
@@ -25,7 +25,7 @@
      * Writes the complete request.
      *
      * @param out the buffer to append to
-     * @param leftMs how long the gateway will wait for the response, in milliseconds
+     * @param remainingMs how long the gateway will wait for the response, in milliseconds
      * @param authority the endpoint's host and port, as in the HTTP header Host
      */
     void writeTo(ByteBuf out, long remainingMs, String authority);
